--- a/cmd/yarrowbarrow/check.go
+++ b/cmd/yarrowbarrow/check.go
@@ -18,7 +18,7 @@
 
 // platformFlag names the platform's file, against which an operators' file is checked.
 type platformFlag struct {
-	Platform string `type:"existingfile" placeholder:"FILE" help:"The platform's JSON file, to check names and times against."`
+	Platform string `name:"platform" type:"existingfile" placeholder:"FILE" help:"The platform's JSON file, to check names and times against."`
 }
 
 // read gives the platform's configuration, or nil where none is named.
@@ -40,8 +40,8 @@
 
 type checkCommand struct {
 	platformFlag
-	JSON  bool     `help:"Write the messages as JSON, for editors."`
-	Files []string `arg:"" help:"The files, each with all that it includes."`
+	JSON  bool     `name:"json" help:"Write the messages as JSON, for editors."`
+	Files []string `name:"files" arg:"" help:"The files, each with all that it includes."`
 }
 
 func (checkCommand) Help() string {
@@ -70,10 +70,10 @@
 }
 
 type fmtCommand struct {
-	List  bool     `short:"l" help:"List files that are not in their canonical form."`
-	Diff  bool     `short:"d" help:"Show what would change."`
-	Write bool     `short:"w" help:"Write the files, each at once or not at all."`
-	Files []string `arg:"" optional:"" help:"The files; - or none: standard input."`
+	List  bool     `name:"list" short:"l" help:"List files that are not in their canonical form."`
+	Diff  bool     `name:"diff" short:"d" help:"Show what would change."`
+	Write bool     `name:"write" short:"w" help:"Write the files, each at once or not at all."`
+	Files []string `name:"files" arg:"" optional:"" help:"The files; - or none: standard input."`
 }
 
 func (fmtCommand) Help() string {
--- a/cmd/yarrowbarrow/demo.go
+++ b/cmd/yarrowbarrow/demo.go
@@ -19,9 +19,9 @@
 )
 
 type demoCommand struct {
-	Operators string `arg:"" optional:"" default:"deploy/operator.conf" help:"The operators' file to serve with."`
-	Seconds   int    `default:"60" help:"How long the load lasts, 6 to 600."`
-	Seed      int64  `default:"1" help:"Of the load."`
+	Operators string `name:"operators" arg:"" optional:"" default:"deploy/operator.conf" help:"The operators' file to serve with."`
+	Seconds   int    `name:"seconds" default:"60" help:"How long the load lasts, 6 to 600."`
+	Seed      int64  `name:"seed" default:"1" help:"Of the load."`
 }
 
 func (demoCommand) Help() string {
--- a/cmd/yarrowbarrow/explain.go
+++ b/cmd/yarrowbarrow/explain.go
@@ -23,10 +23,10 @@
 }
 
 type diffCommand struct {
-	JSON     bool   `help:"Write the changes as JSON."`
-	ExitCode bool   `help:"End with exit code 1 where there is a change."`
-	Old      string `arg:"" help:"The earlier version."`
-	New      string `arg:"" help:"The later version."`
+	JSON     bool   `name:"json" help:"Write the changes as JSON."`
+	ExitCode bool   `name:"exit-code" help:"End with exit code 1 where there is a change."`
+	Old      string `name:"old" arg:"" help:"The earlier version."`
+	New      string `name:"new" arg:"" help:"The later version."`
 }
 
 func (diffCommand) Help() string {
@@ -69,9 +69,9 @@
 
 type explainCommand struct {
 	platformFlag
-	JSON bool     `help:"Write the explanation as JSON."`
-	File string   `arg:"" help:"The operators' file."`
-	Job  []string `arg:"" help:"The job, as terms: type=lookup customer=c1 tables=17 cost=2core-s memory=96MB left=1500ms."`
+	JSON bool     `name:"json" help:"Write the explanation as JSON."`
+	File string   `name:"file" arg:"" help:"The operators' file."`
+	Job  []string `name:"job" arg:"" help:"The job, as terms: type=lookup customer=c1 tables=17 cost=2core-s memory=96MB left=1500ms."`
 }
 
 func (explainCommand) Help() string {
@@ -186,7 +186,7 @@
 
 type routesCommand struct {
 	platformFlag
-	File string `arg:"" help:"The operators' file."`
+	File string `name:"file" arg:"" help:"The operators' file."`
 }
 
 func (r *routesCommand) Run(out *output) error {
--- a/cmd/yarrowbarrow/fleet.go
+++ b/cmd/yarrowbarrow/fleet.go
@@ -21,28 +21,28 @@
 )
 
 type fleetCommands struct {
-	Play    fleetCommand   `cmd:"" default:"withargs" help:"Play a fleet (also without a word)."`
-	Compare compareCommand `cmd:"" help:"Play two policies or builds in pairs on the same seeds, and tell the difference with its interval."`
-	Days    daysCommand    `cmd:"" help:"Play days on which operators have seen things go wrong, and show one line for each."`
-	Soak    soakCommand    `cmd:"" help:"Play runs with faults that overlap, drawn from seeds, and show which broke a rule."`
-	Talk    talkCommand    `cmd:"" help:"Play instances that know one another: how soon a loss is known, how old words are, what it costs."`
-	Faults  faultsCommand  `cmd:"" help:"List what may go wrong."`
+	Play    fleetCommand   `name:"play" cmd:"" default:"withargs" help:"Play a fleet (also without a word)."`
+	Compare compareCommand `name:"compare" cmd:"" help:"Play two policies or builds in pairs on the same seeds, and tell the difference with its interval."`
+	Days    daysCommand    `name:"days" cmd:"" help:"Play days on which operators have seen things go wrong, and show one line for each."`
+	Soak    soakCommand    `name:"soak" cmd:"" help:"Play runs with faults that overlap, drawn from seeds, and show which broke a rule."`
+	Talk    talkCommand    `name:"talk" cmd:"" help:"Play instances that know one another: how soon a loss is known, how old words are, what it costs."`
+	Faults  faultsCommand  `name:"faults" cmd:"" help:"List what may go wrong."`
 }
 
 // fleetFlags are what a fleet is and what happens to it.
 type fleetFlags struct {
-	Controllers int           `default:"100" help:"Processes of this program, 1 to 400."`
-	Engines     int           `default:"20" help:"Stand-in engines, 1 to 500."`
-	Cores       int           `default:"4" help:"Of each engine; its jobs share them."`
-	Uneven      bool          `help:"Every third engine has twice the cores."`
-	PerSecond   float64       `default:"8" help:"Jobs a second that a controller gets in the mean, of 76 ms core time each; some get several times as many."`
-	Rooms       int           `default:"1" help:"That controllers and engines are in, by turns; faults on links cut them off."`
-	Ruled       bool          `help:"Play jobs of all kinds that rules are about, non-idempotent, keyed, bound to a room."`
-	Length      time.Duration `default:"15s" help:"How long the load lasts."`
-	Seed        int64         `default:"1" help:"Of the load and of whom faults strike."`
+	Controllers int           `name:"controllers" default:"100" help:"Processes of this program, 1 to 400."`
+	Engines     int           `name:"engines" default:"20" help:"Stand-in engines, 1 to 500."`
+	Cores       int           `name:"cores" default:"4" help:"Of each engine; its jobs share them."`
+	Uneven      bool          `name:"uneven" help:"Every third engine has twice the cores."`
+	PerSecond   float64       `name:"per-second" default:"8" help:"Jobs a second that a controller gets in the mean, of 76 ms core time each; some get several times as many."`
+	Rooms       int           `name:"rooms" default:"1" help:"That controllers and engines are in, by turns; faults on links cut them off."`
+	Ruled       bool          `name:"ruled" help:"Play jobs of all kinds that rules are about, non-idempotent, keyed, bound to a room."`
+	Length      time.Duration `name:"length" default:"15s" help:"How long the load lasts."`
+	Seed        int64         `name:"seed" default:"1" help:"Of the load and of whom faults strike."`
 	Faults      []string      `name:"fault" sep:";" placeholder:"FAULT" help:"What goes wrong, also several times, as in stop:0.3@5s/3s. The command fleet faults lists them."`
-	Script      string        `type:"existingfile" placeholder:"FILE" help:"A file with a fault a line; # begins a comment."`
-	Chaos       int           `placeholder:"N" help:"So many faults drawn from the seed, beside the others."`
+	Script      string        `name:"script" type:"existingfile" placeholder:"FILE" help:"A file with a fault a line; # begins a comment."`
+	Chaos       int           `name:"chaos" placeholder:"N" help:"So many faults drawn from the seed, beside the others."`
 }
 
 func (c *fleetFlags) options() (o fleet.Options, err error) {
@@ -112,9 +112,9 @@
 
 type fleetCommand struct {
 	fleetFlags
-	Policies []string `default:"own,random" help:"What decides, one run each: own, random, round-robin, least-outstanding, two-choices; own@PATH for another build."`
-	JSON     bool     `help:"Print the figures as JSON."`
-	HTML     string   `type:"path" placeholder:"FILE" help:"Also write a page with plots."`
+	Policies []string `name:"policies" default:"own,random" help:"What decides, one run each: own, random, round-robin, least-outstanding, two-choices; own@PATH for another build."`
+	JSON     bool     `name:"json" help:"Print the figures as JSON."`
+	HTML     string   `name:"html" type:"path" placeholder:"FILE" help:"Also write a page with plots."`
 }
 
 func (fleetCommand) Help() string {
@@ -271,10 +271,10 @@
 }
 
 type compareCommand struct {
-	A     string `arg:"" help:"A policy as for play, such as own or two-choices, or own@PATH for another build."`
-	B     string `arg:"" help:"What is compared with it."`
-	Pairs int    `default:"5" help:"Played on so many seeds, each with both, in turns of who is first."`
-	JSON  bool   `help:"Print as JSON."`
+	A     string `name:"a" arg:"" help:"A policy as for play, such as own or two-choices, or own@PATH for another build."`
+	B     string `name:"b" arg:"" help:"What is compared with it."`
+	Pairs int    `name:"pairs" default:"5" help:"Played on so many seeds, each with both, in turns of who is first."`
+	JSON  bool   `name:"json" help:"Print as JSON."`
 	fleetFlags
 }
 
@@ -340,9 +340,9 @@
 }
 
 type daysCommand struct {
-	Only     []string `help:"Of the days, by name."`
-	Policies []string `default:"own,two-choices" help:"As for play, each on each day."`
-	JSON     bool     `help:"Print as JSON."`
+	Only     []string `name:"only" help:"Of the days, by name."`
+	Policies []string `name:"policies" default:"own,two-choices" help:"As for play, each on each day."`
+	JSON     bool     `name:"json" help:"Print as JSON."`
 	fleetFlags
 }
 
@@ -409,10 +409,10 @@
 }
 
 type talkCommand struct {
-	Instances []int         `default:"20,100" help:"How many, one run each."`
-	Period    time.Duration `default:"1s" help:"Between the probes of an instance."`
-	Seed      int64         `default:"1" help:"Of what the links lose."`
-	JSON      bool          `help:"Print as JSON."`
+	Instances []int         `name:"instances" default:"20,100" help:"How many, one run each."`
+	Period    time.Duration `name:"period" default:"1s" help:"Between the probes of an instance."`
+	Seed      int64         `name:"seed" default:"1" help:"Of what the links lose."`
+	JSON      bool          `name:"json" help:"Print as JSON."`
 }
 
 func (c *talkCommand) Run(out *output) error {
@@ -468,7 +468,7 @@
 
 // baselineCommand is what the fleet starts to measure against.
 type baselineCommand struct {
-	Policy string `arg:"" help:"random, round-robin, least-outstanding or two-choices; or without-rule-1, -2, -3, -6 and -7, ours with a guard taken out."`
+	Policy string `name:"policy" arg:"" help:"random, round-robin, least-outstanding or two-choices; or without-rule-1, -2, -3, -6 and -7, ours with a guard taken out."`
 }
 
 func (b *baselineCommand) Run(log *slog.Logger) error {
--- a/cmd/yarrowbarrow/main.go
+++ b/cmd/yarrowbarrow/main.go
@@ -23,21 +23,21 @@
 
 // commands is the command line. Without a word it serves, as the platform starts it.
 type commands struct {
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log: text or json."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Least level that is logged: debug, info, warn or error."`
+	LogFormat string `name:"log-format" enum:"text,json" default:"text" help:"Form of the log: text or json."`
+	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"Least level that is logged: debug, info, warn or error."`
 
-	Serve      serveCommand      `cmd:"" default:"withargs" help:"Run one controller (also without any word)."`
-	Check      checkCommand      `cmd:"" help:"Check an operators' file with all that it includes."`
-	Fmt        fmtCommand        `cmd:"" help:"Write operators' files in their canonical form."`
-	Diff       diffCommand       `cmd:"" help:"Tell what two versions of an operators' file mean differently."`
-	Explain    explainCommand    `cmd:"" help:"Tell where a job would go, and why."`
-	Routes     routesCommand     `cmd:"" help:"Show the routes of an operators' file as a table."`
-	Demo       demoCommand       `cmd:"" help:"Play a minute of load between stand-in engines, with an operators' file."`
-	Fleet      fleetCommands     `cmd:"" help:"Play hundreds of controllers between stand-in engines, and tell how evenly these were used."`
-	Baseline   baselineCommand   `cmd:"" hidden:"" help:"Serve with a plain policy, to measure against."`
-	Members    membersCommand    `cmd:"" help:"Show whom a running instance knows in its fleet, and how fresh that is."`
-	Version    versionCommand    `cmd:"" help:"Show the version of this program."`
-	Completion completionCommand `cmd:"" help:"Write a completion script for bash."`
+	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Run one controller (also without any word)."`
+	Check      checkCommand      `name:"check" cmd:"" help:"Check an operators' file with all that it includes."`
+	Fmt        fmtCommand        `name:"fmt" cmd:"" help:"Write operators' files in their canonical form."`
+	Diff       diffCommand       `name:"diff" cmd:"" help:"Tell what two versions of an operators' file mean differently."`
+	Explain    explainCommand    `name:"explain" cmd:"" help:"Tell where a job would go, and why."`
+	Routes     routesCommand     `name:"routes" cmd:"" help:"Show the routes of an operators' file as a table."`
+	Demo       demoCommand       `name:"demo" cmd:"" help:"Play a minute of load between stand-in engines, with an operators' file."`
+	Fleet      fleetCommands     `name:"fleet" cmd:"" help:"Play hundreds of controllers between stand-in engines, and tell how evenly these were used."`
+	Baseline   baselineCommand   `name:"baseline" cmd:"" hidden:"" help:"Serve with a plain policy, to measure against."`
+	Members    membersCommand    `name:"members" cmd:"" help:"Show whom a running instance knows in its fleet, and how fresh that is."`
+	Version    versionCommand    `name:"version" cmd:"" help:"Show the version of this program."`
+	Completion completionCommand `name:"completion" cmd:"" help:"Write a completion script for bash."`
 }
 
 // lastLines is how long an ending process waits for the reader of its log.
--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -117,8 +117,8 @@
 }
 
 type membersCommand struct {
-	Socket string `required:"" type:"path" placeholder:"PATH" help:"The status socket of a running instance, as its operators' file names it."`
-	JSON   bool   `help:"Print as JSON."`
+	Socket string `name:"socket" required:"" type:"path" placeholder:"PATH" help:"The status socket of a running instance, as its operators' file names it."`
+	JSON   bool   `name:"json" help:"Print as JSON."`
 }
 
 func (membersCommand) Help() string {
--- a/cmd/yarrowbarrow/serve.go
+++ b/cmd/yarrowbarrow/serve.go
@@ -13,7 +13,7 @@
 
 type serveCommand struct {
 	change    func(*controller.Controller) // before it runs, or nil
-	Operators string                       `env:"BALANCER_OPERATORS" type:"path" placeholder:"FILE" help:"The operators' file; none: every job may go to every engine that its type allows."`
+	Operators string                       `name:"operators" env:"BALANCER_OPERATORS" type:"path" placeholder:"FILE" help:"The operators' file; none: every job may go to every engine that its type allows."`
 }
 
 func (serveCommand) Help() string {
--- a/cmd/yarrowbarrow/soak.go
+++ b/cmd/yarrowbarrow/soak.go
@@ -13,12 +13,12 @@
 
 // soakCommand plays the randomized fault soak.
 type soakCommand struct {
-	Seeds   int           `default:"50" help:"How many runs, each of a seed of its own."`
-	From    int64         `default:"1" help:"The first seed."`
-	Beside  int           `default:"2" help:"Runs at the same time. More than the machine bears shows as late answers."`
-	Length  time.Duration `default:"6s" help:"How long the load of each lasts, 3s or more."`
-	Hostile bool          `default:"true" negatable:"" help:"Peers that flood, crowds and signals beside the other faults."`
-	Program string        `type:"existingfile" placeholder:"FILE" help:"Another build of the program to play."`
+	Seeds   int           `name:"seeds" default:"50" help:"How many runs, each of a seed of its own."`
+	From    int64         `name:"from" default:"1" help:"The first seed."`
+	Beside  int           `name:"beside" default:"2" help:"Runs at the same time. More than the machine bears shows as late answers."`
+	Length  time.Duration `name:"length" default:"6s" help:"How long the load of each lasts, 3s or more."`
+	Hostile bool          `name:"hostile" default:"true" negatable:"" help:"Peers that flood, crowds and signals beside the other faults."`
+	Program string        `name:"program" type:"existingfile" placeholder:"FILE" help:"Another build of the program to play."`
 }
 
 // Help is for the command line.
--- a/config/config.go
+++ b/config/config.go
@@ -86,14 +86,17 @@
 	// What a small machine of ours has, where nothing is said.
 	c := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
 	var file struct {
-		Name, Listen, Seed string
-		Discovery          string `json:"feed"`
-		Known, Settings    json.RawMessage
-		Limits             struct {
-			Cores    *float64
-			MemoryMB *int64 `json:"memory_mb"`
-			Sockets  *int
-		}
+		Name      string          `json:"name"`
+		Listen    string          `json:"listen"`
+		Seed      string          `json:"seed"`
+		Discovery string          `json:"feed"`
+		Known     json.RawMessage `json:"known"`
+		Settings  json.RawMessage `json:"settings"`
+		Limits    struct {
+			Cores    *float64 `json:"cores"`
+			MemoryMB *int64   `json:"memory_mb"`
+			Sockets  *int     `json:"sockets"`
+		} `json:"limits"`
 	}
 	if err := decode("", raw, &file); err != nil {
 		return c, err
--- a/config/settings.go
+++ b/config/settings.go
@@ -27,20 +27,23 @@
 // ReadSettings takes the figures that are read out of the settings object; other keys are passed over.
 func ReadSettings(raw json.RawMessage) (Settings, error) {
 	var c struct {
-		Balancers, Rank int
-		Classes         []struct {
-			Name             string
-			Aim, Deadline    time.Duration
-			AimStretch       float64 `json:"aim_stretch"`
-			Gain             float64
-			LateWorth        float64 `json:"late_worth"`
-			Repeat, Group    string
+		Balancers int `json:"balancers"`
+		Rank      int `json:"rank"`
+		Classes   []struct {
+			Name             string           `json:"name"`
+			Aim              time.Duration    `json:"aim"`
+			Deadline         time.Duration    `json:"deadline"`
+			AimStretch       float64          `json:"aim_stretch"`
+			Gain             float64          `json:"gain"`
+			LateWorth        float64          `json:"late_worth"`
+			Repeat           string           `json:"repeat"`
+			Group            string           `json:"group"`
 			KeyTTL           time.Duration    `json:"key_ttl"`
 			ByArrival        bool             `json:"by_arrival"`
 			AllowedIn        []logic.Location `json:"allowed_in"`
 			MachineTypesOpen []logic.KindName `json:"machine_types_open"`
-		}
-		Discovery  string
+		} `json:"classes"`
+		Discovery  string `json:"discovery"`
 		FamilyInfo struct {
 			BlockedByLoads []bool        `json:"blocked_by_loads"`
 			GrantCap       float64       `json:"grant_cap"`
@@ -54,13 +57,13 @@
 			WidthByClass   []float64     `json:"width_by_class"`
 		} `json:"family_info"`
 		LoadReport struct {
-			Columns []string
+			Columns []string `json:"columns"`
 		} `json:"load_report"`
 		MachineTypes []logic.KindName `json:"machine_types"`
 		Orgs         []struct {
-			Name     logic.CustomerID
-			QuotaRPS float64 `json:"quota_rps"`
-		}
+			Name     logic.CustomerID `json:"name"`
+			QuotaRPS float64          `json:"quota_rps"`
+		} `json:"orgs"`
 		OverShareWorth float64 `json:"over_share_worth"`
 		Permissions    struct {
 			MaxAttempts   int           `json:"max_attempts"`
@@ -71,21 +74,21 @@
 			IdleClose     time.Duration `json:"idle_close"`
 			Streams       int           `json:"streams_per_conn"`
 			OpenCap       int           `json:"open_cap"`
-			Probes        bool
-		}
+			Probes        bool          `json:"probes"`
+		} `json:"permissions"`
 		Safety struct {
 			BudgetWindow    time.Duration `json:"budget_window"`
-			Cold            time.Duration
+			Cold            time.Duration `json:"cold"`
 			DrainGrace      time.Duration `json:"drain_grace"`
 			ExtraFloor      float64       `json:"extra_floor"`
 			ExtraPerRequest float64       `json:"extra_per_request"`
-			Fall            time.Duration
+			Fall            time.Duration `json:"fall"`
 			KeyQuiet        time.Duration `json:"key_quiet"`
 			StartCapacity   float64       `json:"start_capacity"`
 			TipMultiple     float64       `json:"tip_multiple"`
-		}
-		Tick time.Duration
-		Zone logic.Location
+		} `json:"safety"`
+		Tick time.Duration  `json:"tick"`
+		Zone logic.Location `json:"zone"`
 	}
 	if err := decode("settings", raw, &c); err != nil {
 		return Settings{}, err
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -19,11 +19,11 @@
 }
 
 type change struct {
-	N       int64
+	N       int64 `json:"n"`
 	Members *struct {
-		Whole bool
-		Hosts hosts
-	}
+		Whole bool  `json:"whole"`
+		Hosts hosts `json:"hosts"`
+	} `json:"members"`
 }
 
 // events and hosts are read one by one, so that a faulty text ends at its first fault, whatever its length.
@@ -68,21 +68,21 @@
 }
 
 type host struct {
-	Host   logic.EngineID
-	Dial   string
-	Site   logic.Location
-	Class  logic.KindName
-	Block  logic.Cell
-	Health string
-	Share  float64
-	BornMS int64 `json:"born_ms"`
+	Host   logic.EngineID `json:"host"`
+	Dial   string         `json:"dial"`
+	Site   logic.Location `json:"site"`
+	Class  logic.KindName `json:"class"`
+	Block  logic.Cell     `json:"block"`
+	Health string         `json:"health"`
+	Share  float64        `json:"share"`
+	BornMS int64          `json:"born_ms"`
 }
 
 // Parse reads a text with at most so many events, and hosts in all of them. A faulty one is refused as a whole.
 func Parse(raw []byte, most int) (Events, error) {
 	var answer struct {
-		N      int64
-		Events events
+		N      int64  `json:"n"`
+		Events events `json:"events"`
 	}
 	if n := bytes.Count(raw, []byte("{")); n > 3*most+1 { // an object for each event, its members and each host, and one round all
 		return Events{}, fmt.Errorf("%d objects, of at most %d events and hosts", n, most)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -100,9 +100,9 @@
 			return err
 		}
 		var batch struct {
-			Moment *int64
-			Frame  json.RawMessage
-			Events []event
+			Moment *int64          `json:"moment"`
+			Frame  json.RawMessage `json:"frame"`
+			Events []event         `json:"events"`
 		}
 		if err := json.Unmarshal(line, &batch); err != nil {
 			return fmt.Errorf("batch after frame %s: unreadable: %w", last, err)
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -24,25 +24,33 @@
 
 // SeenMember is what an instance says of another on its status socket.
 type SeenMember struct {
-	Name   string
-	Life   int64
-	Status string
+	Name   string        `json:"name"`
+	Life   int64         `json:"life"`
+	Status string        `json:"status"`
 	Age    time.Duration `json:"age_ns"`
 	Hears  time.Duration `json:"hears_us_ns"`
 }
 
 // SeenFleet is what an instance says of its fleet.
 type SeenFleet struct {
-	Name    string
-	Life    int64
-	Contact string
-	Members []SeenMember
+	Name    string       `json:"name"`
+	Life    int64        `json:"life"`
+	Contact string       `json:"contact"`
+	Members []SeenMember `json:"members"`
 	Open    struct {
 		Least   int `json:"at_least"`
 		Fresh   int `json:"instances"`
-		Unknown int
+		Unknown int `json:"unknown"`
 	} `json:"open_jobs"`
-	Counts struct{ Sent, Came, SentBytes, CameBytes, Bounded, Refused, Streams int64 }
+	Counts struct {
+		Sent      int64 `json:"Sent"`
+		Came      int64 `json:"Came"`
+		SentBytes int64 `json:"SentBytes"`
+		CameBytes int64 `json:"CameBytes"`
+		Bounded   int64 `json:"Bounded"`
+		Refused   int64 `json:"Refused"`
+		Streams   int64 `json:"Streams"`
+	} `json:"counts"`
 }
 
 // Of finds a member, or an empty one.
--- a/lab/fleet/spread/picture.go
+++ b/lab/fleet/spread/picture.go
@@ -14,11 +14,18 @@
 
 // Slice is what became of the jobs of one window.
 type Slice struct {
-	Sent, InTime, Late, Rejected, None int
+	Sent     int `json:"Sent"`
+	InTime   int `json:"InTime"`
+	Late     int `json:"Late"`
+	Rejected int `json:"Rejected"`
+	None     int `json:"None"`
 }
 
 // Share is how many jobs a controller had, and how many of them were done in time.
-type Share struct{ Jobs, InTime int }
+type Share struct {
+	Jobs   int `json:"Jobs"`
+	InTime int `json:"InTime"`
+}
 
 // pictureWindow shows faults of a second, and keeps a minute of 80 engines small.
 const pictureWindow = 250 * time.Millisecond
--- a/lab/knownfailures/main.go
+++ b/lab/knownfailures/main.go
@@ -25,7 +25,12 @@
 type failure struct{ Test, Cause, Issue string }
 
 // event is what go test -json writes, as far as it is read here.
-type event struct{ Action, Package, Test, Output string }
+type event struct {
+	Action  string `json:"Action"`
+	Package string `json:"Package"`
+	Test    string `json:"Test"`
+	Output  string `json:"Output"`
+}
 
 // verdict is what a run of the tests came to.
 type verdict struct {
--- a/member/gossip/gossip.go
+++ b/member/gossip/gossip.go
@@ -41,11 +41,13 @@
 
 // Counts of an instance since its start.
 type Counts struct {
-	Sent, Came           int64 // datagrams
-	SentBytes, CameBytes int64
-	Bounded              int64 // not sent or not read, as there was more than the configuration allows
-	Refused              int64 // of another key or version, replayed, or unreadable
-	Streams              int64 // full states exchanged
+	Sent      int64 `json:"Sent"` // datagrams
+	Came      int64 `json:"Came"`
+	SentBytes int64 `json:"SentBytes"`
+	CameBytes int64 `json:"CameBytes"`
+	Bounded   int64 `json:"Bounded"` // not sent or not read, as there was more than the configuration allows
+	Refused   int64 `json:"Refused"` // of another key or version, replayed, or unreadable
+	Streams   int64 `json:"Streams"` // full states exchanged
 }
 
 // Gossip is one instance. Its methods may be called from anywhere.
