--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// BenchmarkJob: a job taken, attempted and done, with others held behind a full fleet.
+// BenchmarkJob measures one job from arrival to answer, with no other jobs and with 100 queued.
 func BenchmarkJob(b *testing.B) {
 	for _, held := range []int{0, 100} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
-			h := &bench{now: time.Minute, timers: map[TimerID]time.Duration{}}
+			h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 			h.start(nil)
-			h.up("a", "b", "c", "d")
+			h.addEngines("a", "b", "c", "d")
 			for n := range held {
 				h.c.JobTaken(h.now, JobID(fmt.Sprint("held", n)), "load", "", "key", h.now+time.Hour, 0, 0, 1, false, nil)
 			}
@@ -27,14 +27,14 @@
 	}
 }
 
-// BenchmarkEngines: the same at a controller of a fleet of 300, with few and with many engines.
+// BenchmarkEngines measures one job from arrival to answer at one of 300 controllers, for several numbers of engines.
 func BenchmarkEngines(b *testing.B) {
-	for _, many := range []int{8, 80, 800} {
-		b.Run(fmt.Sprintf("engines=%d", many), func(b *testing.B) {
-			h := &bench{now: time.Minute, timers: map[TimerID]time.Duration{}}
+	for _, engineCount := range []int{8, 80, 800} {
+		b.Run(fmt.Sprintf("engines=%d", engineCount), func(b *testing.B) {
+			h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 			h.start(func(s *Settings) { s.Controllers, s.Number = 300, 7 })
 			h.c.ListBegins(h.now, ListWhole)
-			for n := range many {
+			for n := range engineCount {
 				h.c.EngineListed(h.now, EngineID(fmt.Sprintf("e%03d", n)), "here", "k", 0, Up, 1, 0)
 			}
 			h.c.ListEnds(h.now)
--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// earnings counts the jobs that earn further attempts.
-type earnings struct {
+// earnedCounter wraps Limits and counts the jobs that are reported with Earned.
+type earnedCounter struct {
 	Limits
 	jobs int
 }
 
-func (e *earnings) Earned(now, taken time.Duration) {
+func (e *earnedCounter) Earned(now, taken time.Duration) {
 	e.jobs++
 	e.Limits.Earned(now, taken)
 }
 
-// TestEarned: a job earns further attempts once, when an engine has had it without refusing it as faulty and its client waits on.
+// TestEarned checks that a job counts for the retry budget once, when an engine has received it and not refused it as
+// faulty while its client was still waiting.
 func TestEarned(t *testing.T) {
 	for _, c := range []struct {
-		what     string
-		outcomes []Outcome
-		left     time.Duration
-		gone     bool
-		want     int
+		name       string
+		outcomes   []Outcome
+		timeout    time.Duration
+		clientGone bool
+		want       int
 	}{
-		{"refused at once", nil, ms, false, 0},
+		{"rejected on arrival", nil, ms, false, 0},
 		{"answered", []Outcome{Done}, 5 * time.Second, false, 1},
 		{"answered at the second attempt", []Outcome{ConnectionLost, Done}, 5 * time.Second, false, 1},
 		{"turned away", []Outcome{TurnedAway}, 5 * time.Second, false, 1},
-		{"refused by engines", []Outcome{Errored, Errored}, 5 * time.Second, false, 0},
+		{"refused by two engines", []Outcome{Errored, Errored}, 5 * time.Second, false, 0},
 		{"refused by one engine", []Outcome{Errored, Done}, 5 * time.Second, false, 1},
 		{"not sent", []Outcome{NotSent}, 5 * time.Second, false, 0},
 		{"no connection", []Outcome{NoConnection}, 5 * time.Second, false, 0},
-		{"given up by its client", []Outcome{Recalled}, 5 * time.Second, true, 0},
+		{"client left", []Outcome{Recalled}, 5 * time.Second, true, 0},
 	} {
-		h := &bench{now: time.Minute, timers: map[TimerID]time.Duration{}}
+		h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 		h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFree, s.BudgetShare = 10*time.Second, 2, 0.2 })
-		counted := &earnings{Limits: h.c.limits}
+		counted := &earnedCounter{Limits: h.c.limits}
 		h.c.limits = counted
-		h.up("a", "b")
-		h.learn("a", 1)
+		h.addEngines("a", "b")
+		h.learnLatencies("a", 1)
 		counted.jobs = 0
-		h.take("j", "lookup", "", c.left)
-		if c.gone {
+		h.submit("j", "lookup", "", c.timeout)
+		if c.clientGone {
 			h.c.ClientGone(h.now, "j")
 		}
 		for n, o := range c.outcomes {
 			j := h.c.jobs["j"]
-			if j == nil || j.out == nil {
-				t.Fatalf("%s: attempt %d is not out", c.what, n)
+			if j == nil || j.inFlight == nil {
+				t.Fatalf("%s: attempt %d is not in flight", c.name, n)
 			}
-			h.over("j", n, j.out.engine.id, o)
+			h.endAttempt("j", n, j.inFlight.engine.id, o)
 		}
 		if counted.jobs != c.want {
-			t.Errorf("%s: %d earned, want %d", c.what, counted.jobs, c.want)
+			t.Errorf("%s: %d jobs counted, want %d", c.name, counted.jobs, c.want)
 		}
 	}
 }
 
-// TestFloodEarnsNothing: jobs that are refused at once, however many, allow no further attempt for others.
+// TestFloodEarnsNothing checks that jobs rejected on arrival, however many, do not add to the retry budget of others.
 func TestFloodEarnsNothing(t *testing.T) {
-	h := &bench{now: time.Minute, timers: map[TimerID]time.Duration{}}
+	h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 	h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFree, s.BudgetShare = 10*time.Second, 1, 0.2 })
-	h.up("a", "b")
-	h.learn("a", 1)
+	h.addEngines("a", "b")
+	h.learnLatencies("a", 1)
 	for n := range 200 {
-		h.take(JobID(fmt.Sprint("flood", n)), "lookup", "", ms)
+		h.submit(JobID(fmt.Sprint("flood", n)), "lookup", "", ms)
 	}
 	if !h.c.limits.MayRepeat(h.now) {
-		t.Error("the free one is not there")
+		t.Error("the retry that is always allowed was refused")
 	}
 	h.c.limits.Repeated(h.now)
 	if h.c.limits.MayRepeat(h.now) {
-		t.Error("a flood of refused jobs earns further attempts")
+		t.Error("rejected jobs added to the retry budget")
 	}
 }
--- a/logic/engines.go
+++ b/logic/engines.go
@@ -7,312 +7,326 @@
 	"time"
 )
 
-// The list of engines, and which of them decisions look at. The list may hold thousands, and a controller needs some tens: its
-// work for a job must not grow with the list, nor its work for a change of the list with the fleet.
+// This file keeps the list of engines and selects the candidates, the part of the list that decisions consider. The list
+// may have thousands of engines while a controller needs some tens: the work for a job must not grow with the list, and
+// the work for a change of the list must not grow with the number of controllers.
 
-// engine is what this controller knows of an engine while it stays known.
+// engine is the state of an engine from its first listing until it is gone and has no job in flight.
 type engine struct {
-	id              EngineID
-	location        Location
-	kind            KindName
-	cell            Cell
-	state           Health
-	listed          bool // seen in the whole list being read
-	since           time.Duration
-	cores, memoryMB float64
-	limit, threads  float64 // its concurrency limit, in threads of this controller; those it has
-	dealt           float64 // the limit, dealt out by whole jobs
-	slow            EngineSlowness
-	out             []*job
-	coldLimit       EngineLimit   // of rule 4
-	errors          float64       // share of late
-	full, reported  float64       // memory granted, as last reported, and when in s
-	answered        time.Duration // when an answer last came
-	silent, rank    int           // attempts that ended without one since; in this controller's order of engines
-	suspected       bool
-	trial, wait     time.Duration // when a trial job may go, and the wait before it
-	candidate       bool          // one of Controller.engines
+	id                EngineID
+	location          Location
+	kind              KindName
+	cell              Cell
+	health            Health
+	inSnapshot        bool          // seen in the complete list that is being read
+	startedAt         time.Duration // start of its process, 0 for long ago
+	cores, memoryMB   float64
+	limit             float64 // concurrency limit: threads of this controller's jobs
+	busyThreads       float64 // threads of this controller's jobs in flight there
+	allocatedLimit    float64 // the part of the summed limits that allocateLimits gives to it, 0 outside of the subset
+	slowness          EngineSlowness
+	inFlight          []*job        // jobs in flight there
+	coldLimit         EngineLimit   // rule 4: limit on the work of an engine that has just started
+	errorRate         float64       // moving average of failed attempts, 0 to 1
+	memoryGranted     float64       // share of memory granted, as last reported
+	memoryReportedAtS float64       // time of that report, in seconds
+	lastAnswerAt      time.Duration // last answer, error or lost connection
+	unansweredCount   int           // attempts that timed out or were recalled and were sent after the last answer
+	subsetRank        int           // position in this controller's order of engines
+	suspected         bool
+	nextTrialAt       time.Duration // from when a suspected engine may get a trial job
+	trialBackoff      time.Duration // backoff before the next trial
+	isCandidate       bool          // it is in Controller.candidates
 }
 
-// engineList is the list as discovery tells it, and how it was last ordered.
+// engineList is the list of engines that discovery reports, and the state of its last ordering.
 type engineList struct {
-	byID    map[EngineID]*engine
-	all     []*engine // by id, so that no order depends on a map
-	gone    []*engine // still known, as jobs are out there or the event goes on
-	whole   bool      // the list being read is
-	stale   bool      // has changed since it was ordered
-	ordered time.Duration
-	wanted  int     // candidates, as last ordered
-	reach   float64 // cores of the list over those of the candidates, 1 where all engines are candidates
+	byID           map[EngineID]*engine
+	all            []*engine // sorted by ID, so that no decision depends on the order of a map
+	gone           []*engine // health is Gone; kept until no job is in flight there and the event has been read
+	isSnapshot     bool      // the event being read is a complete list
+	stale          bool      // changed since it was last ordered
+	orderedAt      time.Duration
+	candidateCount int     // candidates that take jobs, as of the last ordering
+	coreRatio      float64 // cores of the list over cores of the candidates, 1 where all engines are candidates
 }
 
-// leastCandidates is several times what a controller uses, so that chance, health and room have something to choose from;
-// smaller lists are considered whole.
-const leastCandidates = 128
+// minCandidates is several times the number of engines that a controller uses, so that selection by chance, health and
+// room has a choice. Smaller lists are considered completely.
+const minCandidates = 128
 
-// perClass candidates at least are of the locations and kinds that a class is bound to, where there are so many.
-const perClass = 16
+// minCandidatesPerClass is the minimum number of candidates of the locations and kinds that a class is restricted to, where that many
+// exist.
+const minCandidatesPerClass = 16
 
-// A list of up to leastCandidates is ordered at each change, up to freeOrder pairs of an engine and a controller. A larger one
-// is ordered again after orderCost for each pair, some hundred times what was measured, so that it takes a hundredth of a core.
-// An engine costs as much as leastPairs of them however few controllers there are.
+// The work of ordering is measured in pairs of an engine and a controller. A list of up to minCandidates engines and
+// maxImmediatePairs pairs is ordered at each change. A larger one is ordered again after a delay of reorderDelayPerPair for each pair. That is
+// some hundred times the measured cost, so that ordering takes a hundredth of a core. An engine costs as much as
+// minPairsPerEngine, however few controllers there are.
 const (
-	freeOrder  = 100_000
-	orderCost  = time.Microsecond
-	leastPairs = 64
+	maxImmediatePairs   = 100_000
+	reorderDelayPerPair = time.Microsecond
+	minPairsPerEngine   = 64
 )
 
-// ListBegins tells that an event of the list is being read: a whole list, or changes of it.
+// ListBegins starts an event of the list of engines: a complete list, changes to it, or a failed request for it.
 func (c *Controller) ListBegins(now time.Duration, kind ListKind) {
 	c.now = now
-	c.list.whole = kind == ListWhole || kind == ListRemembered
-	if c.list.whole {
+	c.list.isSnapshot = kind == ListWhole || kind == ListRemembered
+	if c.list.isSnapshot {
 		for _, e := range c.list.all {
-			e.listed = false
+			e.inSnapshot = false
 		}
 	}
-	// Where the list must be asked for, follow it from the start and, when that fails, after a drawn wait, so
-	// that controllers that failed together do not ask together.
-	if c.set.ListOnRequest && kind == ListRemembered {
+	// Where the list must be requested, request it at the start and, after a failure, again after a random delay, so
+	// that controllers that failed at the same time do not retry at the same time.
+	if c.settings.ListOnRequest && kind == ListRemembered {
 		c.host.Follow(true)
-	} else if c.set.ListOnRequest && kind == ListRefused {
-		c.host.WakeAfter(askTimer, time.Duration((0.2+0.8*c.rng.Float64())*float64(time.Second)))
+	} else if c.settings.ListOnRequest && kind == ListRefused {
+		c.host.WakeAfter(listRetryTimer, time.Duration((0.2+0.8*c.rng.Float64())*float64(time.Second)))
 	}
 }
 
-func byID(e *engine, id EngineID) int { return cmp.Compare(e.id, id) }
+// compareID compares an engine with an ID, for binary searches.
+func compareID(e *engine, id EngineID) int { return cmp.Compare(e.id, id) }
 
-// EngineListed tells the state of an engine, as the list now has it.
+// EngineListed handles the entry of an engine in the event being read. since is when its process started.
 func (c *Controller) EngineListed(now time.Duration, id EngineID, location Location, kind KindName, cell Cell,
-	health Health, weight float64, since time.Duration) {
+	health Health, weight float64, startedAt time.Duration) {
 	e := c.list.byID[id]
 	if e == nil {
-		e = c.newEngine(id, location, kind, since)
+		e = c.addEngine(id, location, kind, startedAt)
 	}
-	if since > e.since || (e.state != Up && health == Up) {
-		// Started anew: what was learned of the process is void, and a start is as good as a trial.
-		e.since = max(since, e.since)
-		e.coldLimit.Started(e.since)
+	if startedAt > e.startedAt || (e.health != Up && health == Up) {
+		// The process has restarted: what was learned of the earlier one is void, and a start counts as a passed trial.
+		e.startedAt = max(startedAt, e.startedAt)
+		e.coldLimit.Started(e.startedAt)
 		c.host.Suspects(e.id, false)
-		e.suspected, e.errors, e.wait = false, 0, 0
-		c.startLimit(e)
+		e.suspected, e.errorRate, e.trialBackoff = false, 0, 0
+		c.resetLimit(e)
 	}
-	if health == Gone && e.state != Gone {
+	if health == Gone && e.health != Gone {
 		c.list.gone = append(c.list.gone, e)
 	}
-	e.location, e.kind, e.cell, e.state, e.listed = location, kind, cell, health, true
+	e.location, e.kind, e.cell, e.health, e.inSnapshot = location, kind, cell, health, true
 }
 
-func (c *Controller) newEngine(id EngineID, location Location, kind KindName, since time.Duration) *engine {
-	e := &engine{id: id, since: since, cores: 1, rank: math.MaxInt}
+// addEngine adds an engine to the list. A kind that is not in the settings counts as one core.
+func (c *Controller) addEngine(id EngineID, location Location, kind KindName, startedAt time.Duration) *engine {
+	e := &engine{id: id, startedAt: startedAt, cores: 1, subsetRank: math.MaxInt}
 	c.list.byID[id] = e
-	at, _ := slices.BinarySearchFunc(c.list.all, id, byID)
-	c.list.all = slices.Insert(c.list.all, at, e)
-	if n := slices.IndexFunc(c.set.Kinds, func(k EngineKind) bool { return k.Name == kind }); n >= 0 {
-		e.cores, e.memoryMB = c.set.Kinds[n].Cores, c.set.Kinds[n].MemoryMB
+	index, _ := slices.BinarySearchFunc(c.list.all, id, compareID)
+	c.list.all = slices.Insert(c.list.all, index, e)
+	if kindIndex := slices.IndexFunc(c.settings.Kinds, func(k EngineKind) bool { return k.Name == kind }); kindIndex >= 0 {
+		e.cores, e.memoryMB = c.settings.Kinds[kindIndex].Cores, c.settings.Kinds[kindIndex].MemoryMB
 	}
-	e.coldLimit, e.slow = c.limits.Engine(e.cores), c.set.Slowness.Engine(location, kind)
-	e.coldLimit.Started(since)
-	c.startLimit(e)
+	e.coldLimit, e.slowness = c.limits.Engine(e.cores), c.settings.Slowness.Engine(location, kind)
+	e.coldLimit.Started(startedAt)
+	c.resetLimit(e)
 	return e
 }
 
-// ListEnds tells that the event has been read.
+// ListEnds ends the event, and dispatches what can be dispatched. Engines missing from a complete list are gone.
 func (c *Controller) ListEnds(now time.Duration) {
 	c.now = now
-	if c.list.whole {
+	if c.list.isSnapshot {
 		for _, e := range c.list.all {
-			if !e.listed && e.state != Gone {
-				e.state = Gone
+			if !e.inSnapshot && e.health != Gone {
+				e.health = Gone
 				c.list.gone = append(c.list.gone, e)
 			}
 		}
 	}
-	c.forgetGone()
+	c.removeGone()
 	c.list.stale = true
-	c.release()
+	c.dispatchQueued()
 }
 
-// forgetGone drops engines that are gone for good and have no job out, or replaced ones would pile up.
-func (c *Controller) forgetGone() {
+// removeGone removes engines that are gone and have no job in flight, as memory would otherwise grow with each engine
+// that is replaced.
+func (c *Controller) removeGone() {
 	c.list.gone = slices.DeleteFunc(c.list.gone, func(e *engine) bool {
-		if e.state != Gone { // has come back
+		if e.health != Gone { // it was listed again
 			return true
 		}
-		if len(e.out) > 0 {
+		if len(e.inFlight) > 0 {
 			return false
 		}
 		delete(c.list.byID, e.id)
-		if at, known := slices.BinarySearchFunc(c.list.all, e.id, byID); known {
-			c.list.all = slices.Delete(c.list.all, at, at+1)
+		if index, known := slices.BinarySearchFunc(c.list.all, e.id, compareID); known {
+			c.list.all = slices.Delete(c.list.all, index, index+1)
 		}
-		if at, is := slices.BinarySearchFunc(c.engines, e.id, byID); is {
-			c.engines = slices.Delete(c.engines, at, at+1)
+		if index, found := slices.BinarySearchFunc(c.candidates, e.id, compareID); found {
+			c.candidates = slices.Delete(c.candidates, index, index+1)
 		}
 		return true
 	})
 }
 
-// refreshCandidates orders the list anew once it has changed. A list of the usual size is ordered at each change. A large one
-// is not ordered again before a time that grows with the work, unless half of the candidates have left: an engine that has
-// come is used some moments later, and one that leaves gets nothing whether or not the list was ordered since.
+// refreshCandidates orders the list again once it has changed. A list of the usual size is ordered at each change. A
+// large one is ordered again only after a delay that grows with the work, unless half of the candidates have left. A new
+// engine is then used some moments later, while one that leaves gets no job whether or not the list was ordered since.
 func (c *Controller) refreshCandidates() {
-	l := &c.list
-	if !l.stale {
+	list := &c.list
+	if !list.stale {
 		return
 	}
-	pairs := len(l.all) * max(c.set.Controllers, leastPairs)
-	large := len(l.all) > leastCandidates || pairs > freeOrder
-	if large && c.now < l.ordered+time.Duration(pairs)*orderCost {
-		up := 0
-		for _, e := range c.engines {
-			if e.state == Up {
-				up++
+	pairs := len(list.all) * max(c.settings.Controllers, minPairsPerEngine)
+	large := len(list.all) > minCandidates || pairs > maxImmediatePairs
+	if large && c.now < list.orderedAt+time.Duration(pairs)*reorderDelayPerPair {
+		upCount := 0
+		for _, e := range c.candidates {
+			if e.health == Up {
+				upCount++
 			}
 		}
-		if up > 0 && 2*up >= l.wanted {
+		if upCount > 0 && 2*upCount >= list.candidateCount {
 			return
 		}
 	}
-	l.stale, l.ordered = false, c.now
-	c.chooseCandidates(c.orderEngines())
+	list.stale, list.orderedAt = false, c.now
+	c.selectCandidates(c.orderEngines())
 }
 
-// orderEngines has subsets of the engines dealt anew to all controllers, as wide as the limits of a start ask. It gives the
-// engines that take jobs in this controller's order, and the size of the subset.
-func (c *Controller) orderEngines() (order []*engine, size int) {
+// orderEngines assigns subsets of the engines to all controllers again, of the size that the initial limits need. It
+// returns the engines that take jobs in this controller's order, and the size of a subset.
+func (c *Controller) orderEngines() (ordered []*engine, size int) {
 	var up []Candidate
-	room := 0.0
+	initialLimit := 0.0
 	for _, e := range c.list.all {
-		e.rank = math.MaxInt
-		if e.state == Up {
-			up, room = append(up, Candidate{e.id, e.location, e.cores}), room+e.cores*startThreads/(1+c.many)
+		e.subsetRank = math.MaxInt
+		if e.health == Up {
+			up, initialLimit = append(up, Candidate{e.id, e.location, e.cores}), initialLimit+e.cores*initialThreadsPerCore/(1+c.controllerCount)
 		}
 	}
-	size = int(math.Ceil(room / c.widest))
-	for n, to := range c.set.order(up, size) {
-		e := c.list.byID[to.ID]
-		e.rank = n
-		order = append(order, e)
+	size = int(math.Ceil(initialLimit / c.maxJobThreads))
+	for position, candidate := range c.settings.sortCandidates(up, size) {
+		e := c.list.byID[candidate.ID]
+		e.subsetRank = position
+		ordered = append(ordered, e)
 	}
-	return order, size
+	return ordered, size
 }
 
-// chooseCandidates takes the first engines of the order as those that decisions look at: several times the subset, some for
-// each class that is bound to locations or kinds, and so many that each engine has two controllers in the mean. Engines with
-// jobs out stay. Limits are for as many controllers as share an engine, so they grow with the part of the list that is left
-// out.
-func (c *Controller) chooseCandidates(order []*engine, size int) {
-	l := &c.list
-	want := max(leastCandidates, 4*size, int(math.Ceil(2*float64(len(l.all))/c.many)))
-	if len(l.all) <= want {
-		c.setCandidates(slices.Clone(l.all), 1)
-		l.wanted = len(order)
+// selectCandidates makes the first engines of the order the candidates: several times the subset, some for each class
+// that is restricted to locations or kinds, and enough that an engine is a candidate of two controllers on average.
+// Engines with jobs in flight stay candidates. A limit is a share of the engine among the controllers that use it, so
+// limits grow with the part of the list that is left out.
+func (c *Controller) selectCandidates(order []*engine, size int) {
+	list := &c.list
+	wanted := max(minCandidates, 4*size, int(math.Ceil(2*float64(len(list.all))/c.controllerCount)))
+	if len(list.all) <= wanted {
+		c.setCandidates(slices.Clone(list.all), 1)
+		list.candidateCount = len(order)
 		return
 	}
-	density := c.density()
-	next := slices.Clone(order[:min(want, len(order))])
-	l.wanted = len(next)
-	for n := range c.set.Classes {
-		next = append(next, missing(&c.set.Classes[n], next, order[len(next):])...)
+	limitPerCore := c.limitPerCore()
+	chosen := slices.Clone(order[:min(wanted, len(order))])
+	list.candidateCount = len(chosen)
+	for index := range c.settings.Classes {
+		chosen = append(chosen, missingForClass(&c.settings.Classes[index], chosen, order[len(chosen):])...)
 	}
-	whole, cores := 0.0, 0.0
+	upCores, chosenCores := 0.0, 0.0
 	for _, e := range order {
-		whole += e.cores
+		upCores += e.cores
 	}
-	for _, e := range next {
-		cores += e.cores
-		if !e.candidate {
-			e.limit = density * e.cores
+	for _, e := range chosen {
+		chosenCores += e.cores
+		if !e.isCandidate {
+			e.limit = limitPerCore * e.cores
 		}
 	}
-	for _, e := range l.all {
-		if len(e.out) > 0 && !slices.Contains(next, e) {
-			next = append(next, e)
+	for _, e := range list.all {
+		if len(e.inFlight) > 0 && !slices.Contains(chosen, e) {
+			chosen = append(chosen, e)
 		}
 	}
-	slices.SortFunc(next, func(a, b *engine) int { return cmp.Compare(a.id, b.id) })
-	c.setCandidates(next, whole/math.Max(cores, 1e-9))
+	slices.SortFunc(chosen, func(a, b *engine) int { return cmp.Compare(a.id, b.id) })
+	c.setCandidates(chosen, upCores/math.Max(chosenCores, 1e-9))
 }
 
-// density is the limit of a core in the mean of the candidates: what was learned of their room holds for those that come.
-func (c *Controller) density() float64 {
-	if c.fleet(); c.cores == 0 {
-		return startThreads / (1 + c.many) * c.list.reach
+// limitPerCore returns the mean limit of the candidates, in threads per core. New candidates start with it, as what was
+// learned of the load applies to them too.
+func (c *Controller) limitPerCore() float64 {
+	if c.updateTotals(); c.upCores == 0 {
+		return initialThreadsPerCore / (1 + c.controllerCount) * c.list.coreRatio
 	}
-	return c.entire / c.cores
+	return c.upLimit / c.upCores
 }
 
-// missing gives those that a class lacks among the candidates, from the rest of the order.
-func missing(class *Class, chosen, rest []*engine) (more []*engine) {
+// missingForClass returns the engines from the rest of the order that a class needs to have minCandidatesPerClass candidates. It
+// returns none for a class without restrictions.
+func missingForClass(class *Class, chosen, rest []*engine) (added []*engine) {
 	if len(class.Locations) == 0 && len(class.Kinds) == 0 {
 		return nil
 	}
-	have := 0
+	count := 0
 	for _, e := range chosen {
-		if class.allows(e) {
-			have++
+		if class.allowsEngine(e) {
+			count++
 		}
 	}
 	for _, e := range rest {
-		if have >= perClass {
+		if count >= minCandidatesPerClass {
 			break
 		}
-		if class.allows(e) && !slices.Contains(chosen, e) {
-			more = append(more, e)
-			have++
+		if class.allowsEngine(e) && !slices.Contains(chosen, e) {
+			added = append(added, e)
+			count++
 		}
 	}
-	return more
+	return added
 }
 
-// allows keeps rule 6: the locations and kinds that a class is bound to.
-func (t *Class) allows(e *engine) bool {
-	return (len(t.Locations) == 0 || slices.Contains(t.Locations, e.location)) &&
-		(len(t.Kinds) == 0 || slices.Contains(t.Kinds, e.kind))
+// allowsEngine checks rule 6: the locations and kinds that a class is restricted to.
+func (class *Class) allowsEngine(e *engine) bool {
+	return (len(class.Locations) == 0 || slices.Contains(class.Locations, e.location)) &&
+		(len(class.Kinds) == 0 || slices.Contains(class.Kinds, e.kind))
 }
 
-// setCandidates makes a list the candidates, whose limits are for another reach from now on.
-func (c *Controller) setCandidates(next []*engine, reach float64) {
-	for _, e := range c.engines {
-		e.candidate = false
+// setCandidates replaces the candidates, and scales their limits to the new ratio of cores.
+func (c *Controller) setCandidates(candidates []*engine, coreRatio float64) {
+	for _, e := range c.candidates {
+		e.isCandidate = false
 	}
-	for _, e := range next {
-		e.candidate = true
-		if reach != c.list.reach {
-			e.limit *= reach / c.list.reach
+	for _, e := range candidates {
+		e.isCandidate = true
+		if coreRatio != c.list.coreRatio {
+			e.limit *= coreRatio / c.list.coreRatio
 		}
 	}
-	c.engines, c.list.reach = next, reach
+	c.candidates, c.list.coreRatio = candidates, coreRatio
 }
 
-// addCandidates looks for engines beyond the candidates that a job may go to, takes a few of them in and tells whether it
-// found any.
+// addCandidates searches the rest of the list for engines that a job may go to, makes up to minCandidatesPerClass of them
+// candidates and reports whether it found any.
 func (c *Controller) addCandidates(allows func(*engine) bool) (found bool) {
-	if len(c.engines) >= len(c.list.all) {
+	if len(c.candidates) >= len(c.list.all) {
 		return false
 	}
-	var more []*engine
+	var eligible []*engine
 	for _, e := range c.list.all {
-		if !e.candidate && allows(e) {
-			more = append(more, e)
+		if !e.isCandidate && allows(e) {
+			eligible = append(eligible, e)
 		}
 	}
-	slices.SortStableFunc(more, func(a, b *engine) int { return cmp.Compare(a.rank, b.rank) })
-	density := c.density()
-	for _, e := range more[:min(len(more), perClass)] {
-		e.candidate, e.limit = true, density*e.cores
-		at, _ := slices.BinarySearchFunc(c.engines, e.id, byID)
-		c.engines = slices.Insert(c.engines, at, e)
+	slices.SortStableFunc(eligible, func(a, b *engine) int { return cmp.Compare(a.subsetRank, b.subsetRank) })
+	limitPerCore := c.limitPerCore()
+	for _, e := range eligible[:min(len(eligible), minCandidatesPerClass)] {
+		e.isCandidate, e.limit = true, limitPerCore*e.cores
+		index, _ := slices.BinarySearchFunc(c.candidates, e.id, compareID)
+		c.candidates = slices.Insert(c.candidates, index, e)
 	}
-	return len(more) > 0
+	return len(eligible) > 0
 }
 
-// startThreads is a thread and a half a core for a single controller, about what keeps cores busy with half
-// the work on disks, and twice that for many, whose needs do not fall together.
-const startThreads = 3.0
+// initialThreadsPerCore is divided by the number of controllers plus one. This gives a single controller 1.5 threads per core,
+// about what keeps cores busy when half of the work waits for disks. Many controllers together get twice that, as their
+// peaks do not coincide.
+const initialThreadsPerCore = 3.0
 
-func (c *Controller) startLimit(e *engine) {
-	e.slow.Anew()
-	e.limit = e.cores * startThreads / (1 + c.many) * c.list.reach
+// resetLimit sets the concurrency limit of an engine whose process has just started or become known.
+func (c *Controller) resetLimit(e *engine) {
+	e.slowness.Anew()
+	e.limit = e.cores * initialThreadsPerCore / (1 + c.controllerCount) * c.list.coreRatio
 }
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -16,45 +16,47 @@
 	"yarrowbarrow/decide/thin"
 )
 
-var update = flag.Bool("update", false, "write the traces anew, to be read before they are kept")
+var update = flag.Bool("update", false, "rewrite the expected traces in testdata; review them before committing")
 
-// bench is a host that prints what it is told; sweeps that decide nothing leave no line.
-type bench struct {
+// fakeHost is a fake Host that writes each call to a trace, with a simulated clock and timers. Timers are not traced, so
+// sweeps without a decision leave no line.
+type fakeHost struct {
 	c      *Controller
 	now    time.Duration
 	trace  strings.Builder
 	timers map[TimerID]time.Duration
 }
 
-func (h *bench) say(format string, args ...any) {
+func (h *fakeHost) record(format string, args ...any) {
 	fmt.Fprintf(&h.trace, "%6d ms  %s\n", h.now.Milliseconds()%1000000, fmt.Sprintf(format, args...))
 }
 
-func (h *bench) Attempt(j JobID, e EngineID, limit, within time.Duration) {
+func (h *fakeHost) Attempt(j JobID, e EngineID, limit, within time.Duration) {
 	begun := ""
 	if within < limit {
 		begun = fmt.Sprintf(", begun within %v", within.Round(ms))
 	}
-	h.say("attempt %s to %s, at most %v%s", j, e, limit.Round(ms), begun)
+	h.record("attempt %s to %s, at most %v%s", j, e, limit.Round(ms), begun)
 }
-func (h *bench) SetTerms(j JobID, memory float64, p int) {
-	h.say("terms of %s: %.0f MB, %d", j, memory, p)
+func (h *fakeHost) SetTerms(j JobID, memory float64, p int) {
+	h.record("terms of %s: %.0f MB, %d", j, memory, p)
 }
-func (h *bench) Recall(j JobID, n int) { h.say("recall %s attempt %d", j, n) }
-func (h *bench) Reject(j JobID, wait time.Duration) {
-	h.say("reject %s, back in %v", j, wait.Round(ms))
+func (h *fakeHost) Recall(j JobID, n int) { h.record("recall %s attempt %d", j, n) }
+func (h *fakeHost) Reject(j JobID, wait time.Duration) {
+	h.record("reject %s, back in %v", j, wait.Round(ms))
 }
-func (h *bench) Fail(j JobID)                          { h.say("fail %s", j) }
-func (h *bench) WakeAfter(t TimerID, in time.Duration) { h.timers[t] = h.now + in }
-func (h *bench) Follow(on bool)                        { h.say("follow the list: %v", on) }
-func (h *bench) FetchList()                            { h.say("fetch the list") }
-func (h *bench) Probe(e EngineID)                      { h.say("probe %s", e) }
-func (h *bench) CloseIdle(e EngineID)                  { h.say("close idle %s", e) }
-func (h *bench) TellPeer(p PeerID, m string)           { h.say("tell %d %s", p, m) }
-func (h *bench) Suspects(EngineID, bool)               {}
-func (h *bench) Log(line string)                       { h.say("log: %s", line) }
-
-func (h *bench) start(change func(*Settings)) {
+func (h *fakeHost) Fail(j JobID)                          { h.record("fail %s", j) }
+func (h *fakeHost) WakeAfter(t TimerID, in time.Duration) { h.timers[t] = h.now + in }
+func (h *fakeHost) Follow(on bool)                        { h.record("follow the list: %v", on) }
+func (h *fakeHost) FetchList()                            { h.record("fetch the list") }
+func (h *fakeHost) Probe(e EngineID)                      { h.record("probe %s", e) }
+func (h *fakeHost) CloseIdle(e EngineID)                  { h.record("close idle %s", e) }
+func (h *fakeHost) TellPeer(p PeerID, m string)           { h.record("tell %d %s", p, m) }
+func (h *fakeHost) Suspects(EngineID, bool)               {}
+func (h *fakeHost) Log(line string)                       { h.record("log: %s", line) }
+
+// start creates a controller with default settings, to which change, if not nil, is applied.
+func (h *fakeHost) start(modify func(*Settings)) {
 	s := Settings{Controllers: 1, Location: "here", MayRecall: true, MaxAttempts: 4, Tick: 5 * ms,
 		MaxComeBack: time.Second, StartCapacity: 0.25, Cold: 10 * time.Second, FallMultiple: 3,
 		Fall: 2 * time.Second, KeyQuiet: 300 * ms, OverShareValue: 0.2,
@@ -68,79 +70,83 @@
 			{Name: "once", LatencyTarget: 2 * time.Second, Deadline: 9 * time.Second, Value: 1, LateValue: 0.4,
 				Repeat: NonIdempotent, Threads: 1},
 		}}
-	if change != nil {
-		change(&s)
+	if modify != nil {
+		modify(&s)
 	}
-	s.Order = func(up []Candidate, _ int) []Candidate { // neighbours, from places by number
+	s.Order = func(up []Candidate, _ int) []Candidate { // the subset starts at a place given by the controller's number
 		at := s.Number * len(up) / s.Controllers
 		return slices.Concat(up[at:], up[:at])
 	}
-	s.Limits = limits{limit.New(limit.Settings{Controllers: s.Controllers, Number: s.Number, BudgetWindow: s.BudgetWindow,
+	s.Limits = limitsAdapter{limit.New(limit.Settings{Controllers: s.Controllers, Number: s.Number, BudgetWindow: s.BudgetWindow,
 		BudgetFree: s.BudgetFree, BudgetShare: s.BudgetShare, StartCapacity: s.StartCapacity, Cold: s.Cold,
 		FallMultiple: s.FallMultiple, Fall: s.Fall})}
-	s.Limits.(limits).Limits.Within(0, "") // the process has run for some time
-	s.Slowness = slowness{thin.New()}
+	s.Limits.(limitsAdapter).Limits.Within(0, "") // the limits' time starts here, as if the process had run for some time
+	s.Slowness = slownessAdapter{thin.New()}
 	h.c = New(h, s, 1)
 }
 
-type slowness struct{ *thin.Book }
+// slownessAdapter adapts decide/thin to Slowness.
+type slownessAdapter struct{ *thin.Book }
 
-func (s slowness) Engine(l Location, k KindName) EngineSlowness {
+func (s slownessAdapter) Engine(l Location, k KindName) EngineSlowness {
 	return s.Book.Engine(thin.Location(l), thin.Kind(k))
 }
 
-// limits are those of decide/limit, without customers' shares.
-type limits struct{ *limit.Limits }
+// limitsAdapter adapts decide/limit to Limits, with no limit on customers' shares.
+type limitsAdapter struct{ *limit.Limits }
 
-func (l limits) Within(time.Duration, CustomerID) bool { return true }
-func (l limits) Engine(cores float64) EngineLimit      { return l.Limits.Engine(cores) }
+func (l limitsAdapter) Within(time.Duration, CustomerID) bool { return true }
+func (l limitsAdapter) Engine(cores float64) EngineLimit      { return l.Limits.Engine(cores) }
 
-func (h *bench) up(engines ...EngineID) {
+// addEngines lists engines that take jobs and started long ago.
+func (h *fakeHost) addEngines(engines ...EngineID) {
 	for _, e := range engines {
-		h.list(e, Up, 0)
+		h.listEngine(e, Up, 0)
 	}
 }
 
-// list tells of one engine; its cell is the length of its name.
-func (h *bench) list(e EngineID, health Health, since time.Duration) {
+// listEngine reports one engine in an event of its own. The length of its name serves as its cell.
+func (h *fakeHost) listEngine(e EngineID, health Health, since time.Duration) {
 	h.c.ListBegins(h.now, ListChanges)
 	h.c.EngineListed(h.now, e, "here", "k", Cell(len(e)), health, 1, since)
 	h.c.ListEnds(h.now)
 }
 
-func (h *bench) take(id JobID, name ClassName, key Key, left time.Duration) {
-	h.say("- %s taken (%s)", id, name)
-	h.c.JobTaken(h.now, id, name, "", key, h.now+left, 0, 0, 1, false, nil)
+// submit has a job arrive whose client waits for so long.
+func (h *fakeHost) submit(id JobID, name ClassName, key Key, timeout time.Duration) {
+	h.record("- %s taken (%s)", id, name)
+	h.c.JobTaken(h.now, id, name, "", key, h.now+timeout, 0, 0, 1, false, nil)
 }
 
-func (h *bench) over(id JobID, n int, e EngineID, o Outcome) {
-	h.say("- %s attempt %d %v", id, n, o)
+// endAttempt ends an attempt of a job after 100 ms.
+func (h *fakeHost) endAttempt(id JobID, n int, e EngineID, o Outcome) {
+	h.record("- %s attempt %d %v", id, n, o)
 	h.c.AttemptOver(h.now, id, n, e, o, 100*ms, o == Done, 0, 0, Load{})
 }
 
-// fill leaves an engine no room with one wide job.
-func (h *bench) fill(e EngineID, n int) {
-	h.take("fill", "report", "", 20*time.Second)
+// fillEngine leaves an engine no room, with one wide job and a limit of the same width.
+func (h *fakeHost) fillEngine(e EngineID, n int) {
+	h.submit("fill", "report", "", 20*time.Second)
 	h.c.list.byID[e].limit = 4
 }
 
-// learn has enough lookups and reports answered that the module knows their latency.
-func (h *bench) learn(e EngineID, n int) {
+// learnLatencies has n lookups and n reports answered, from which the controller learns their latency. They are not traced.
+func (h *fakeHost) learnLatencies(e EngineID, count int) {
 	trace := h.trace.String()
-	for i := range n {
+	for i := range count {
 		for _, name := range []ClassName{"lookup", "report"} {
 			id := JobID(fmt.Sprint("learn", name, i))
-			h.take(id, name, "", 5*time.Second)
-			h.over(id, 0, e, Done)
+			h.submit(id, name, "", 5*time.Second)
+			h.endAttempt(id, 0, e, Done)
 		}
 	}
 	h.trace.Reset()
 	h.trace.WriteString(trace)
 }
 
-// after lets time pass, timers coming due on the way.
-func (h *bench) after(d time.Duration) {
-	for end := h.now + d; ; {
+// advance advances the clock and runs the timers that come due.
+func (h *fakeHost) advance(duration time.Duration) {
+	for end := h.now + duration; ; {
 		var due []TimerID
 		next := end
 		for _, at := range h.timers {
@@ -163,10 +169,11 @@
 	}
 }
 
-func run(t *testing.T, name string, what func(*bench)) {
+// runGolden plays a scenario and compares its trace with the expected one in testdata.
+func runGolden(t *testing.T, name string, scenario func(*fakeHost)) {
 	t.Run(name, func(t *testing.T) {
-		h := &bench{now: time.Minute, timers: map[TimerID]time.Duration{}}
-		what(h)
+		h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
+		scenario(h)
 		file := filepath.Join("testdata", name+".txt")
 		if *update {
 			if err := os.WriteFile(file, []byte(h.trace.String()), 0o644); err != nil {
@@ -178,7 +185,7 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(h.trace.String(), "\n")); diff != "" {
-			t.Error("decisions differ (-kept +now):\n" + diff)
+			t.Error("decisions differ (-want +got):\n" + diff)
 		}
 	})
 }
--- a/logic/host.go
+++ b/logic/host.go
@@ -1,11 +1,14 @@
-// Package logic decides when and where jobs run. logic.go holds the decisions;
-// this file holds the interface to whatever carries them out.
+// Package logic decides when jobs are dispatched and to which engine, whether they are retried, and which are rejected.
+// It does no I/O and reads no clock. logic.go has the decisions, engines.go the list of engines; this file has the
+// interfaces to the code that reports events and carries out decisions.
 package logic
 
 import "time"
 
-// Clock times and spans are whole nanoseconds; the clock starts anywhere and only moves forward.
+// Times and durations are whole nanoseconds. The clock may start at any value and only moves forward.
 
+// Identifiers and names. Key is the order key of jobs of ordered classes. Tables identifies the group of tables that a job
+// uses, and Cell a group of engines within which repeats of keyed jobs may be dropped.
 type (
 	JobID      string
 	EngineID   string
@@ -22,126 +25,175 @@
 
 // Host carries out decisions. A call takes effect at the time of the event being handled.
 type Host interface {
-	// Attempt sends a job. Its first byte may leave until within has passed, or it has to be told as NotSent; the engine
-	// has until timeout for the answer.
-	Attempt(job JobID, engine EngineID, timeout, within time.Duration)
+	// Attempt sends a job to an engine, which has until timeout has passed for the answer. If the first byte was not sent
+	// before within has passed, the host must not send the job, and must report the attempt as NotSent.
+	Attempt(job JobID, engine EngineID, timeout, startWithin time.Duration)
+	// SetTerms sets the memory grant and the priority (1, or 2 for a job with little slack) of the job's following attempts.
 	SetTerms(job JobID, memoryMB float64, priority int)
+	// Recall cancels an attempt, counted from 0, which ends with the outcome Recalled.
 	Recall(job JobID, attempt int)
-	Reject(job JobID, comeBack time.Duration)
+	// Reject answers the client that the job was rejected and may be retried after comeBack.
+	Reject(job JobID, retryAfter time.Duration)
+	// Fail answers the client that the job failed. It may have run.
 	Fail(job JobID)
-	WakeAfter(timer TimerID, in time.Duration)
-	Follow(on bool)
+	// WakeAfter calls Module.TimerDue after a delay.
+	WakeAfter(timer TimerID, delay time.Duration)
+	// Follow requests the list of engines and its changes from discovery, or ends that.
+	Follow(follow bool)
+	// FetchList requests a complete list of engines.
 	FetchList()
+	// Probe sends an engine a probe, whose result comes with Module.ProbeAnswered.
 	Probe(engine EngineID)
+	// CloseIdle closes the idle connections to an engine.
 	CloseIdle(engine EngineID)
+	// TellPeer sends another controller a message.
 	TellPeer(peer PeerID, message string)
+	// Suspects reports that an engine is suspected to have failed, or no longer is.
 	Suspects(engine EngineID, suspected bool)
+	// Log logs a line for operators.
 	Log(line string)
 }
 
-// Module is what happens to a controller, the clock first. Controller is the one that serves; whatever else keeps to it
-// is a baseline to measure against.
+// Module handles the events of a controller process. The first argument of each method is the current time. Controller
+// is the implementation for production; others are baselines for measurements.
 type Module interface {
+	// ListBegins, EngineListed for each engine, and ListEnds report one event of the list of engines.
 	ListBegins(now time.Duration, kind ListKind)
+	// EngineListed reports the state of one engine. since is when its process started, 0 for long ago.
 	EngineListed(now time.Duration, id EngineID, location Location, kind KindName, cell Cell, health Health,
 		weight float64, since time.Duration)
 	ListEnds(now time.Duration)
+	// JobTaken reports a job that has arrived. expires is the latest time of its answer; cost is the thread time and
+	// memory the megabytes that the client declares, or 0.
 	JobTaken(now time.Duration, id JobID, name ClassName, customer CustomerID, key Key, expires, cost time.Duration,
 		memory float64, tables Tables, repeat bool, place Placement)
-	Placed(now time.Duration, id JobID, place Placement, none bool)
+	// Placed reports that a job's placement has changed; none says that the job has no engine left.
+	Placed(now time.Duration, id JobID, placement Placement, noneLeft bool)
+	// ClientGone reports that a job's client has left.
 	ClientGone(now time.Duration, id JobID)
-	// Began tells that a job's attempt begins now, later than it was decided, as it waited for a connection. It is false where it
-	// may not begin any more and is to be told as NotSent. It may be called from within the host's Attempt.
+	// Began reports that a job's attempt, which had waited for a connection after it was decided, is about to be sent. It
+	// returns false if the attempt must not be sent any more; the host then reports it as NotSent. It may be called from
+	// within Host.Attempt.
 	Began(now time.Duration, id JobID) bool
-	Leaving(now, last time.Duration) // the process ends: what it has is answered before last
-	AttemptOver(now time.Duration, id JobID, n int, engine EngineID, o Outcome, took time.Duration, over bool,
+	// Leaving reports that the process is shutting down. All jobs are answered before last.
+	Leaving(now, exitBy time.Duration)
+	// AttemptOver reports the end of attempt n of a job, counted from 0, which took the given time. over says that the
+	// job has its final answer; work and memory (in megabytes) are what the engine says that the job needed, or 0.
+	AttemptOver(now time.Duration, id JobID, attempt int, engine EngineID, outcome Outcome, latency time.Duration, jobOver bool,
 		work time.Duration, memory float64, load Load)
-	TimerDue(now time.Duration, t TimerID)
-	ProbeAnswered(now time.Duration, engine EngineID, o Outcome, took time.Duration, load Load)
+	// TimerDue reports that the delay of Host.WakeAfter has passed.
+	TimerDue(now time.Duration, timer TimerID)
+	// ProbeAnswered reports the result of Host.Probe.
+	ProbeAnswered(now time.Duration, engine EngineID, outcome Outcome, latency time.Duration, load Load)
 }
 
-// Placement narrows a job's engines beyond what the rules allow, never widens them. Jobs of one set of engines wait
-// for room behind one another, not behind those of another set.
+// Placement restricts a job's engines further than the rules do; it never permits what a rule forbids. A job without
+// room holds back only later jobs of the same set of engines.
 type Placement interface {
-	Set() any                    // equal for the same set of engines, nil for all
-	Allows(engine EngineID) bool // among its engines
-	Room() bool                  // a job may leave now
-	// Further tells whether a job may go again, by the time since the first of its attempts that may have run, or
-	// 0, and since the last was over.
-	Further(first, since time.Duration) bool
+	// Set identifies the set of engines: equal for the same set, nil for all engines.
+	Set() any
+	// Allows reports whether the engine is in the set.
+	Allows(engine EngineID) bool
+	// Room reports whether a job of this placement may be dispatched now.
+	Room() bool
+	// Further reports whether a job may be retried. first is the time since the first of its attempts that may have run,
+	// or 0, and since is the time since its last attempt ended.
+	Further(sinceFirst, sinceLast time.Duration) bool
 }
 
-// Limits are the amounts that a controller may use by itself, rules 4 and 7 among them; decide/limit keeps them.
+// Limits are the quotas that a controller keeps without talking to others, among them those of rule 4 (cold engines) and
+// rule 7 (retry budget). Package decide/limit implements it.
 type Limits interface {
-	Earned(now, taken time.Duration)                    // a job that counts for further attempts was taken then
-	Within(now time.Duration, customer CustomerID) bool // its share, of which it takes one job
-	MayRepeat(now time.Duration) bool                   // a further attempt may leave
-	Repeated(now time.Duration)                         // one was decided
-	Began(decided, now time.Duration) bool              // it begins now, later than it was decided, if it may
+	// Earned counts a job, which arrived at the time taken, as part of the base that the retry budget is a share of.
+	Earned(now, taken time.Duration)
+	// Within takes one job from the customer's share and reports whether the share had room for it.
+	Within(now time.Duration, customer CustomerID) bool
+	// MayRepeat reports whether the retry budget allows another retry.
+	MayRepeat(now time.Duration) bool
+	// Repeated counts a retry that was decided now.
+	Repeated(now time.Duration)
+	// Began reports whether a retry that was decided earlier may be sent now, and if so counts it at this time instead.
+	Began(decided, now time.Duration) bool
+	// Engine returns the limit for a newly listed engine.
 	Engine(cores float64) EngineLimit
 }
 
-// Slowness pools what few answers tell of engines; decide/thin does.
+// Slowness estimates the slowness of engines from few answers, by pooling those of similar engines. Package decide/thin
+// implements it.
 type Slowness interface {
+	// Engine returns the estimate for a newly listed engine.
 	Engine(location Location, kind KindName) EngineSlowness
 }
 
-// EngineSlowness is an engine's latency over the best one, 1 and up.
+// EngineSlowness estimates the slowness of one engine: its latency over the best latency, 1 or more.
 type EngineSlowness interface {
-	Answered(now time.Duration, slow float64)
-	Anew() // its process is another
+	// Answered adds the slowness of one answer.
+	Answered(now time.Duration, slowness float64)
+	// Anew drops the engine's own answers, as its process has restarted.
+	Anew()
+	// Slow returns the estimate, or 0 before any answer of any engine was seen.
 	Slow(now time.Duration) float64
 }
 
-// EngineLimit is the limit on work for an engine that has just started.
+// EngineLimit limits the work of one engine while it is cold, which means that its process has started recently.
 type EngineLimit interface {
-	Started(since time.Duration) // 0 for long ago
+	// Started sets when the engine's process started, 0 for long ago.
+	Started(since time.Duration)
+	// Cold reports whether the engine is cold.
 	Cold(now time.Duration) bool
-	Allows(now, work time.Duration, share float64) bool // share of all controllers' subsets that the engine is in
+	// Allows reports whether a job of so much thread time may be sent. share is the fraction of all controllers that have
+	// the engine in their subset.
+	Allows(now, work time.Duration, share float64) bool
+	// Sent counts a job that was sent.
 	Sent(now, work time.Duration, share float64)
 }
 
+// Outcome is how an attempt ended.
 type Outcome int
 
 const (
-	Done Outcome = iota
-	Errored
-	TurnedAway
-	TimedOut
-	NoConnection
-	ConnectionLost
-	Recalled
-	NotSent
+	Done           Outcome = iota // the engine answered
+	Errored                       // the engine answered with an error
+	TurnedAway                    // the engine refused the job, which did not run
+	TimedOut                      // no answer before the timeout
+	NoConnection                  // the engine could not be connected to, so the job did not run
+	ConnectionLost                // the connection was lost before the answer, and the job may have run
+	Recalled                      // cancelled by the controller
+	NotSent                       // not sent in time, or Module.Began did not allow it
 )
 
+// String returns the outcome as it is written to logs and traces.
 func (o Outcome) String() string {
 	return [...]string{"done", "errored", "turned-away", "timed-out", "no-connection", "connection-lost",
 		"recalled", "not-sent"}[o]
 }
 
+// ListKind is the kind of an event of the list of engines.
 type ListKind int
 
 const (
-	ListChanges ListKind = iota
-	ListWhole
-	ListRemembered
-	ListRefused
+	ListChanges    ListKind = iota // engines that have changed
+	ListWhole                      // the complete list
+	ListRemembered                 // a complete list known at the start, before discovery has answered
+	ListRefused                    // a request for the list failed
 )
 
+// Health is the state of an engine in the list.
 type Health int
 
 const (
-	Up Health = iota
-	Draining
-	Gone
+	Up       Health = iota // takes jobs
+	Draining               // completes its jobs and takes no new ones
+	Gone                   // removed from the list
 )
 
 func (h Health) String() string { return [...]string{"up", "draining", "gone"}[h] }
 
+// Topic is the subject of a note that an engine sends while it runs a job.
 type Topic int
 
 const (
-	Progress Topic = 1 + iota
+	Progress Topic = 1 + iota // the level is the fraction of the job that is done
 	Spilling
 	Waiting
 )
@@ -149,88 +201,94 @@
 // WaitsForLoad is the level of a Waiting note when a load holds the tables.
 const WaitsForLoad = 2
 
+// Repeat says whether a job that may have run may be sent again.
 type Repeat int
 
 const (
-	Idempotent Repeat = iota
-	Keyed
-	NonIdempotent
+	Idempotent    Repeat = iota // at any time, to any engine
+	Keyed                       // within Class.Window, to engines of Class.Group, which drop repeats by the job's key
+	NonIdempotent               // never
 )
 
-// Group names the engines that drop repeats of a keyed job.
+// Group is the set of engines that drop repeats of a keyed job.
 type Group int
 
 const (
-	GroupAll Group = iota
-	GroupLocation
-	GroupCell
+	GroupAll      Group = iota // all engines
+	GroupLocation              // those in the location of the earlier attempts
+	GroupCell                  // those in the cell of the earlier attempts
 )
 
-// Load is an engine's report of itself; a part that was not reported is negative.
+// Load is the load that an engine reports with an answer. Fields that were not reported are negative.
 type Load struct {
-	Util, Waiting, MemoryGranted float64
+	Util          float64
+	Waiting       float64
+	MemoryGranted float64 // share of the engine's memory that is granted to jobs; it may exceed 1
 }
 
-// Class is a class of jobs, as the settings have it.
+// Class has the settings of a class of jobs.
 type Class struct {
 	Name          ClassName
-	LatencyTarget time.Duration
-	TargetStretch float64
-	Deadline      time.Duration
-	Value         float64
-	LateValue     float64
+	LatencyTarget time.Duration // an answer earns its full value until this long after arrival, plus the stretch
+	TargetStretch float64       // added to the latency target, times the job's thread time per thread
+	Deadline      time.Duration // after arrival
+	Value         float64       // of an answer before the latency target
+	LateValue     float64       // of an answer after it; 0 if such an answer is worthless
 	Repeat        Repeat
-	Group         Group
-	Window        time.Duration
-	Ordered       bool
-	Locations     []Location
-	Kinds         []KindName
-	Threads       float64
-	HoldsLoad     bool
-	StandsBy      bool
+	Group         Group         // for Keyed
+	Window        time.Duration // for Keyed: how long after the first attempt that may have run the job may be sent again
+	Ordered       bool          // rule 5: jobs of one key run one after the other, in order of arrival
+	Locations     []Location    // rule 6: the only ones allowed; empty for all
+	Kinds         []KindName    // rule 6: the only ones allowed; empty for all
+	Threads       float64       // threads that a job uses
+	HoldsLoad     bool          // a load, which holds its tables while it runs
+	StandsBy      bool          // waits while a load holds one of its tables
 }
 
+// EngineKind is a type of machine that engines run on.
 type EngineKind struct {
 	Name     KindName
 	Cores    float64
 	MemoryMB float64
 }
 
+// Customer has a share of the fleet's jobs.
 type Customer struct {
 	Name     CustomerID
-	JobsPerS float64
+	JobsPerS float64 // jobs per second over all controllers, 0 for no limit
 }
 
-// Settings are handed over at the start. A limit of zero is off, save where its comment says otherwise.
+// Settings are the settings of a Controller, fixed at its start. A limit of zero is off, unless its comment says
+// otherwise.
 type Settings struct {
-	Controllers    int
+	Controllers    int // in the fleet
 	Number         int // of this controller, from 0
 	Location       Location
 	Classes        []Class
 	Kinds          []EngineKind
-	Customers      []Customer // for the limits, as the budget and the figures of cold engines
-	OverShareValue float64
-	ListOnRequest  bool
-	MayRecall      bool
-	GrantsCount    bool
-	PriorityHeeded bool
-	GrantShare     float64
-	OverGrantsPage bool
-	MaxAttempts    int
-	MaxComeBack    time.Duration
-	Tick           time.Duration
-	StartCapacity  float64
-	Cold           time.Duration
-	FallMultiple   float64
-	Fall           time.Duration
-	KeyQuiet       time.Duration
-	BudgetWindow   time.Duration
-	BudgetFree     float64
-	BudgetShare    float64
-	// Order gives engines in the order in which this controller has them for its subset, of which so many are dealt
-	// for the whole fleet; nil: as they are.
+	Customers      []Customer    // read by Limits only, as are the settings of the retry budget and of cold engines
+	OverShareValue float64       // factor on the value of jobs beyond their customer's share
+	ListOnRequest  bool          // discovery sends the list only on request
+	MayRecall      bool          // attempts may be cancelled
+	GrantsCount    bool          // engines heed memory grants
+	PriorityHeeded bool          // engines heed priorities
+	GrantShare     float64       // largest grant, as a share of an engine's memory
+	OverGrantsPage bool          // an engine out of memory swaps
+	MaxAttempts    int           // attempts per job; 1 or less allows no retry
+	MaxComeBack    time.Duration // longest delay that a rejected client is advised to wait; 0 advises none
+	Tick           time.Duration // resolution of the clock
+	StartCapacity  float64       // capacity of an engine as it starts, over its full one
+	Cold           time.Duration // time after its start until an engine has its full capacity
+	FallMultiple   float64       // multiple of its capacity at which an engine collapses
+	Fall           time.Duration // time within which that much work has to arrive
+	KeyQuiet       time.Duration // delay before the next job of a key after an attempt that may still be running
+	BudgetWindow   time.Duration // period that the retry budget covers
+	BudgetFree     float64       // retries per window that are always allowed
+	BudgetShare    float64       // further retries, as a share of the jobs in the window
+	// Order sorts the engines into the order of preference in which this controller takes its subset, where each
+	// controller of the fleet gets a subset of so many. It may reuse the slice. nil keeps the order.
 	Order func(up []Candidate, size int) []Candidate
-	// These begin with the module.
+	// Limits and Slowness must be new, as their state belongs to one Controller.
 	Limits   Limits
 	Slowness Slowness
 }
@@ -242,7 +300,8 @@
 	Cores    float64
 }
 
-func (s *Settings) order(up []Candidate, size int) []Candidate {
+// sortCandidates calls Order, if it is set.
+func (s *Settings) sortCandidates(up []Candidate, size int) []Candidate {
 	if s.Order == nil {
 		return up
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,8 +1,9 @@
 package logic
 
-// All decisions of a controller. How it is called: New, then one method for each thing that happens, with the
-// clock first; a method acts by calling the Host given to New. Both interfaces, in and out, are in host.go.
-// Jobs leave by least static slack; docs/design.md has the design and each exception to it.
+// This file makes all decisions of a controller. A caller creates a Controller with New and then calls one method
+// per event, with the current time as first argument. A method acts by calling the Host given to New. The
+// interfaces in both directions, Module and Host, are in host.go. Queued jobs are dispatched in order of least
+// static slack; docs/design.md describes the design and each exception to that order.
 
 import (
 	"cmp"
@@ -14,842 +15,923 @@
 	"time"
 )
 
-// attempt is the state of one sending of a job.
+// attempt is one dispatch of a job to an engine.
 type attempt struct {
 	engine          *engine
-	location        Location // the engine's then, as is
-	cell            Cell
-	sent, expected  time.Duration // expected is E when it was sent
-	share           float64       // done, by the last note
-	noted           time.Duration
-	recalled, begun bool // begun: the answer has started and is the client's
+	location        Location // location of the engine at the time of sending; the engine may move later
+	cell            Cell     // cell of the engine at the time of sending
+	sentAt          time.Duration
+	expectedLatency time.Duration // the estimated latency E at the time of sending
+	progress        float64       // fraction of the job that is done, from the last progress note, 0 to 1
+	progressAt      time.Duration // time of the last progress note, or the time of sending
+	recalled        bool          // Host.Recall was called for it
+	answerStarted   bool          // the answer has started to arrive and is already being passed on to the client
 }
 
-// job is the state of a job until it is over and nothing of it is out.
+// job is the state of a job. It is kept until the job has its final answer and no attempt is in flight.
 type job struct {
-	id              JobID
-	class           *class
-	line            *line
-	seq, sent       int
-	level           int           // its turn, when last ranked, as are
-	work, worth     float64       // the thread time it keeps a limit busy, and the value for that
-	taken, d, freed time.Duration // d is the deadline; freed when its last attempt was over
-	slack           time.Duration
-	cost, memory    float64 // as told, in ns and MB, or 0
-	tables          Tables
-	over            bool       // beyond its customer's share
-	place           Placement  // narrows its engines, or nil
-	set             any        // of those engines, nil for all
-	ended           bool       // its final answer is given, or the client left
-	earned          bool       // it counts for further attempts
-	maybeRan        []*attempt // attempts that are out or may have run
-	out             *attempt
-}
-
-// class has the settings of a class and what was learned of it.
+	id                 JobID
+	class              *class
+	keyQueue           *keyQueue     // queue of its order key, or nil if its class is unordered or it has no key
+	seq                int           // number in order of arrival
+	attemptCount       int           // attempts dispatched so far
+	dispatchLevel      int           // dispatch level, 0 to 2, computed by updatePriority as are the next two fields
+	backlogThreadNs    float64       // thread nanoseconds that it adds to the backlog, 0 while it can not be dispatched
+	valueDensity       float64       // value per thread nanosecond; the lowest is shed first
+	arrivedAt          time.Duration // arrival
+	deadline           time.Duration // no answer counts after this
+	lastAttemptEndedAt time.Duration // end of its last attempt
+	slack              time.Duration // S = deadline - (arrival + E), computed each time the job is queued
+	declaredCostNs     float64       // thread nanoseconds that the client declared, or 0
+	declaredMemoryMB   float64       // megabytes that the client declared, or 0
+	tables             Tables
+	overShare          bool       // beyond its customer's share of the fleet
+	placement          Placement  // restricts its engines, or nil
+	engineSet          any        // identifies the set of engines of its placement, nil for all engines
+	finished           bool       // its final answer was given, or the client left
+	earnedRetryCredit  bool       // it was counted for the retry budget
+	maybeExecuted      []*attempt // the attempt in flight, and ended ones that may have executed the job
+	inFlight           *attempt   // the attempt in flight, or nil
+}
+
+// class has the settings of a class and the statistics learned from its answers.
 type class struct {
 	Class
-	unit   mean    // latency per told cost, or latency where no cost is told
-	best   float64 // least unit, slowly forgotten
-	bestAt time.Duration
-	spread mean // of what makes up the unit: square of its distance from it, over it
-	work   mean // usual work in ns
-	memory mean // needed over told
+	unitLatency      runningMean // latency over declared cost per thread; latency in ns for jobs without a declared cost
+	bestUnitLatency  float64     // least value of unitLatency, which decays upwards; see recordAnswer
+	bestUpdatedAt    time.Duration
+	relativeVariance runningMean // squared relative deviation of single answers from unitLatency
+	threadNs         runningMean // thread nanoseconds of a job
+	memoryRatio      runningMean // memory that jobs needed over the memory that was declared
 }
 
-// mean is a running mean that starts with plain averaging.
-type mean struct{ value, n float64 }
+// runningMean is a running mean. It is the plain average until it has the maximum number of samples that is passed to
+// add, and an exponentially weighted one from then on.
+type runningMean struct{ value, samples float64 }
 
-func (m *mean) add(x, most float64) {
-	m.n = math.Min(m.n+1, most)
-	m.value += (x - m.value) / m.n
+// add counts one sample.
+func (m *runningMean) add(sample, maxSamples float64) {
+	m.samples = math.Min(m.samples+1, maxSamples)
+	m.value += (sample - m.value) / m.samples
 }
 
-// line is the order of the jobs of one key.
-type line struct {
-	jobs  []*job
-	rests time.Duration // until then
+// keyQueue is the FIFO queue of the jobs of one order key: only the first may be in flight.
+type keyQueue struct {
+	jobs       []*job
+	quietUntil time.Duration // no other job of the key is dispatched before this time, as an earlier one may still be running
 }
 
-// Controller is one instance; it shares nothing with others.
+// Controller decides for one controller process. It shares no state with other instances.
 type Controller struct {
-	host            Host
-	set             Settings
-	rng             *rand.Rand
-	now             time.Duration
-	byName          map[ClassName]*class
-	limits          Limits
-	list            engineList
-	engines         []*engine // the candidates of decisions: of the list, by id
-	jobs            map[JobID]*job
-	held            []*job        // in order
-	ranked          time.Duration // when
-	work            float64       // of all held
-	lines           map[Key]*line
-	seq             int
-	ticking, common bool          // common: most are suspected
-	widest          float64       // threads of the widest class
-	shortest        time.Duration // least latency target
-	many            float64       // controllers
-	up, cores, cold float64       // engines that take jobs, their cores, and those of them that are cold
-	subset, entire  float64       // engines that the limits are dealt out to; all limits
-	limit, threads  float64       // as an engine's, over all in use; a cold one's limit is what it has
-	credit          float64       // thread seconds of the limits left unused of late, when metered
-	metered         time.Duration
-	under           mean // answers that took far less than their told cost
-	slow, full      mean // latency over the best, and memory granted, over all engines
-}
-
-const sweepTimer, askTimer TimerID = 1, 2
-
-// sweepEvery bounds how late a held job is refused; a few ticks keep the timers few.
-const sweepEvery = 20 * time.Millisecond
-
+	host             Host
+	settings         Settings
+	rng              *rand.Rand
+	now              time.Duration
+	classes          map[ClassName]*class
+	limits           Limits
+	list             engineList
+	candidates       []*engine // the part of the list that decisions consider, sorted by ID
+	jobs             map[JobID]*job
+	queue            []*job        // the queue, sorted by compareJobs
+	rankedAt         time.Duration // when the whole queue was last ranked
+	backlogThreadNs  float64       // thread nanoseconds of all queued jobs that could be dispatched
+	keyQueues        map[Key]*keyQueue
+	lastSeq          int           // number of jobs that have arrived
+	sweepScheduled   bool          // the sweep timer is running
+	commonFault      bool          // most engines are suspected, so suspicion is ignored; see updateTotals
+	maxJobThreads    float64       // threads of the widest class
+	minLatencyTarget time.Duration // the smallest latency target of all classes
+	controllerCount  float64       // controllers in the fleet, at least 1
+	// Totals over the candidates, kept by updateTotals. Counts are float64, as they enter sums of threads.
+	upCount    float64 // engines that take jobs
+	upCores    float64 // cores of those
+	coldCount  float64 // how many of those are cold
+	subsetSize float64 // number of engines that the limits are allocated to; see allocateLimits
+	upLimit    float64 // limits of all engines that take jobs, in threads
+	// The sums over the engines in use: suspected ones are left out unless most are suspected, and a cold one's
+	// limit counts as no more than the threads that it has in flight.
+	usableLimit         float64
+	busyThreads         float64
+	burstCredit         float64 // thread seconds of the limits that were left unused lately; see updateTotals
+	creditUpdatedAt     time.Duration
+	underestimatedShare runningMean // share of answers that took far less than their declared cost, 0 to 1
+	slowness            runningMean // latency over the best latency, over all engines
+	memoryGranted       runningMean // share of memory granted, over all engines
+}
+
+// Timers: the sweep, and the delay before the list of engines is requested again after a failure.
+const sweepTimer, listRetryTimer TimerID = 1, 2
+
+// sweepInterval bounds how late a queued job is rejected. It is a few ticks long, so that timers stay few.
+const sweepInterval = 20 * time.Millisecond
+
+// New creates a Controller that acts on host. seed is the seed of its random choices.
 func New(host Host, settings Settings, seed int64) *Controller {
-	c := &Controller{host: host, set: settings, rng: rand.New(rand.NewSource(seed)),
-		byName: map[ClassName]*class{}, limits: settings.Limits, list: engineList{byID: map[EngineID]*engine{}, reach: 1},
-		jobs: map[JobID]*job{}, lines: map[Key]*line{}, shortest: math.MaxInt64,
-		many: math.Max(1, float64(settings.Controllers))}
-	for _, t := range settings.Classes {
-		c.byName[t.Name] = &class{Class: t}
-		c.widest, c.shortest = math.Max(c.widest, t.Threads), min(c.shortest, t.LatencyTarget)
+	c := &Controller{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)),
+		classes: map[ClassName]*class{}, limits: settings.Limits, list: engineList{byID: map[EngineID]*engine{}, coreRatio: 1},
+		jobs: map[JobID]*job{}, keyQueues: map[Key]*keyQueue{}, minLatencyTarget: math.MaxInt64,
+		controllerCount: math.Max(1, float64(settings.Controllers))}
+	for _, jobClass := range settings.Classes {
+		c.classes[jobClass.Name] = &class{Class: jobClass}
+		c.maxJobThreads, c.minLatencyTarget = math.Max(c.maxJobThreads, jobClass.Threads), min(c.minLatencyTarget, jobClass.LatencyTarget)
 	}
 	return c
 }
 
-func (c *Controller) JobTaken(now time.Duration, id JobID, name ClassName, cust CustomerID, key Key,
-	expires, cost time.Duration, memory float64, tables Tables, repeat bool, place Placement) {
+// JobTaken queues a job that has just arrived, and dispatches what can be dispatched. The job is rejected at once if
+// it can not meet its deadline. expires is the latest time of the answer, cost the thread time that the client declares,
+// or 0, memory the megabytes that it declares, or 0. place restricts its engines, or is nil.
+func (c *Controller) JobTaken(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
+	expires, declaredCost time.Duration, memoryMB float64, tables Tables, repeat bool, placement Placement) {
 	c.now = now
-	r := c.byName[name]
-	if r == nil { // not in the settings: promise nothing
-		left := expires - now
-		r = &class{Class: Class{Deadline: left, LatencyTarget: left, Repeat: NonIdempotent, Threads: 1}}
-	}
-	c.seq++
-	j := &job{id: id, class: r, seq: c.seq, taken: now, cost: float64(cost), memory: memory, tables: tables,
-		d: min(now+r.Deadline, expires)}
-	c.place(j, place)
+	jobClass := c.classes[className]
+	if jobClass == nil { // a class that is not in the settings: never retry it once it may have run
+		remaining := expires - now
+		jobClass = &class{Class: Class{Deadline: remaining, LatencyTarget: remaining, Repeat: NonIdempotent, Threads: 1}}
+	}
+	c.lastSeq++
+	j := &job{id: id, class: jobClass, seq: c.lastSeq, arrivedAt: now, declaredCostNs: float64(declaredCost), declaredMemoryMB: memoryMB, tables: tables,
+		deadline: min(now+jobClass.Deadline, expires)}
+	c.setPlacement(j, placement)
 	c.jobs[id] = j
-	if r.Ordered && key != "" {
-		j.line = cmp.Or(c.lines[key], &line{})
-		c.lines[key] = j.line
-		j.line.jobs = append(j.line.jobs, j)
-	}
-	j.over = !c.limits.Within(now, cust)
-	if c.hold(j); c.hopeless(j) {
-		c.end(j)
+	if jobClass.Ordered && key != "" {
+		j.keyQueue = cmp.Or(c.keyQueues[key], &keyQueue{})
+		c.keyQueues[key] = j.keyQueue
+		j.keyQueue.jobs = append(j.keyQueue.jobs, j)
+	}
+	j.overShare = !c.limits.Within(now, customer)
+	if c.enqueue(j); c.tooLate(j) {
+		c.rejectOrFail(j)
 		return
 	}
-	c.release()
-	c.shed(j)
-	if !c.ticking {
-		c.host.WakeAfter(sweepTimer, sweepEvery)
+	c.dispatchQueued()
+	c.shedLoad(j)
+	if !c.sweepScheduled {
+		c.host.WakeAfter(sweepTimer, sweepInterval)
 	}
-	c.ticking = true
+	c.sweepScheduled = true
 }
 
-// expect is E: told cost times learned latency per cost, or mean latency; the latency target before either.
-func (c *Controller) expect(j *job) time.Duration {
-	if j.class.unit.n == 0 {
+// expectedLatency returns the estimated latency E: the declared cost times the learned latency per cost, or the mean latency
+// where no cost is declared, or the latency target before any answer was seen.
+func (c *Controller) expectedLatency(j *job) time.Duration {
+	if j.class.unitLatency.samples == 0 {
 		return j.class.LatencyTarget
 	}
-	// A learned time must never refuse every job, or no outcome would correct it.
-	return min(time.Duration(j.class.unit.value*j.unitCost()), j.class.Deadline)
+	// Capped, as a learned latency that rejected every job could never be corrected by another answer.
+	return min(time.Duration(j.class.unitLatency.value*j.costPerThread()), j.class.Deadline)
 }
 
-func (j *job) unitCost() float64 { return cmp.Or(j.cost/j.class.Threads, 1) }
+// costPerThread returns the declared nanoseconds per thread of the job, or 1 if no cost was declared.
+func (j *job) costPerThread() float64 { return cmp.Or(j.declaredCostNs/j.class.Threads, 1) }
 
-// target is when the answer stops earning its full value.
-func (c *Controller) target(j *job) time.Duration {
-	work := cmp.Or(j.cost, j.class.best*j.class.Threads)
-	return j.taken + j.class.LatencyTarget + time.Duration(j.class.TargetStretch*work/j.class.Threads)
+// targetTime returns the time until which an answer earns its full value.
+func (c *Controller) targetTime(j *job) time.Duration {
+	threadNs := cmp.Or(j.declaredCostNs, j.class.bestUnitLatency*j.class.Threads)
+	return j.arrivedAt + j.class.LatencyTarget + time.Duration(j.class.TargetStretch*threadNs/j.class.Threads)
 }
 
-func (c *Controller) hold(j *job) {
-	j.slack = j.d - (c.now + c.expect(j))
-	c.weigh(j)
-	at, _ := slices.BinarySearchFunc(c.held, j, order)
-	c.held = slices.Insert(c.held, at, j)
+// enqueue inserts the job into the queue by its priority. Its slack is computed here and does not change while it is queued.
+func (c *Controller) enqueue(j *job) {
+	j.slack = j.deadline - (c.now + c.expectedLatency(j))
+	c.updatePriority(j)
+	index, _ := slices.BinarySearchFunc(c.queue, j, compareJobs)
+	c.queue = slices.Insert(c.queue, index, j)
 }
 
-func (c *Controller) unhold(j *job) {
-	if at, held := slices.BinarySearchFunc(c.held, j, order); held {
-		c.held = slices.Delete(c.held, at, at+1)
-		c.work -= j.work
+// dequeue removes the job from the queue, if it is there, and its work from the backlog.
+func (c *Controller) dequeue(j *job) {
+	if index, found := slices.BinarySearchFunc(c.queue, j, compareJobs); found {
+		c.queue = slices.Delete(c.queue, index, index+1)
+		c.backlogThreadNs -= j.backlogThreadNs
 	}
 }
 
-// weigh works out what order, drain and shedding rest on. A job behind one of its key, or with no room where
-// it may go, adds no work.
-func (c *Controller) weigh(j *job) {
-	work := float64(c.expect(j)) * j.class.Threads
-	j.level, j.work, j.worth = c.turn(j), work, j.class.Value/(work+1)
-	if j.over {
-		j.worth *= c.set.OverShareValue
+// updatePriority computes the values that the order of the queue, the estimate of the backlog and load shedding use, and adds
+// the job's work to the backlog. A job that waits for an earlier one of its key, or whose placement has no room,
+// adds no work.
+func (c *Controller) updatePriority(j *job) {
+	threadNs := float64(c.expectedLatency(j)) * j.class.Threads
+	j.dispatchLevel, j.backlogThreadNs, j.valueDensity = c.dispatchLevel(j), threadNs, j.class.Value/(threadNs+1)
+	if j.overShare {
+		j.valueDensity *= c.settings.OverShareValue
 	}
-	if j.line != nil && j.line.jobs[0] != j || j.place != nil && !j.place.Room() {
-		j.work = 0
+	if j.keyQueue != nil && j.keyQueue.jobs[0] != j || j.placement != nil && !j.placement.Room() {
+		j.backlogThreadNs = 0
 	}
-	c.work += j.work
+	c.backlogThreadNs += j.backlogThreadNs
 }
 
-// rank does so anew for all held, once a tick, as time and what is learned change little in one.
-func (c *Controller) rank() {
-	c.ranked, c.work = c.now, 0
-	for _, j := range c.held {
-		c.weigh(j)
+// rankQueue computes the priorities of all queued jobs again and sorts the queue. Once per tick is enough, as time and
+// the learned latencies change little within one.
+func (c *Controller) rankQueue() {
+	c.rankedAt, c.backlogThreadNs = c.now, 0
+	for _, j := range c.queue {
+		c.updatePriority(j)
 	}
-	slices.SortFunc(c.held, order)
+	slices.SortFunc(c.queue, compareJobs)
 }
 
+// without removes the job from the list, in place.
 func without(list []*job, j *job) []*job {
 	return slices.DeleteFunc(list, func(other *job) bool { return other == j })
 }
 
-// turn tells the level at which a held job leaves; within a level the least slack goes first.
-// Exceptions to plain slack: a job about to miss its latency target goes first, as classes of a long deadline
-// would wait until they are worthless; one beyond its customer's share or too late for its target goes last.
-func (c *Controller) turn(j *job) int {
-	left := c.target(j) - c.now - c.expect(j)
+// dispatchLevel returns the level at which a queued job is dispatched, lowest first; within a level the least slack goes
+// first. The levels are exceptions to plain slack. A job that is about to miss its latency target goes first, as jobs
+// of classes with a long deadline would otherwise wait until their answers are worthless. A job beyond its customer's
+// share, or too late for its latency target, goes last.
+func (c *Controller) dispatchLevel(j *job) int {
+	targetSlack := c.targetTime(j) - c.now - c.expectedLatency(j)
 	switch {
-	case j.over || left < -c.expect(j)/2:
+	case j.overShare || targetSlack < -c.expectedLatency(j)/2:
 		return 2
-	case left < j.class.LatencyTarget/4:
+	case targetSlack < j.class.LatencyTarget/4:
 		return 0
 	}
 	return 1
 }
 
-func order(a, b *job) int { return cmp.Or(a.level-b.level, cmp.Compare(a.slack, b.slack), a.seq-b.seq) }
+// compareJobs compares jobs by level, slack and arrival.
+func compareJobs(a, b *job) int {
+	return cmp.Or(a.dispatchLevel-b.dispatchLevel, cmp.Compare(a.slack, b.slack), a.seq-b.seq)
+}
 
-// release sends held jobs in order while an engine has room. It is the only way to an attempt.
-func (c *Controller) release() {
+// dispatchQueued dispatches queued jobs in order while an engine has room. Every attempt is started here.
+func (c *Controller) dispatchQueued() {
 	c.refreshCandidates()
-	if c.now >= c.ranked+c.set.Tick {
-		c.rank()
-	}
-	for c.fleet(); len(c.held) > 0 && (c.cold > 0 || c.roomFor(1)); c.fleet() {
-		var to *engine
-		var barred []*job // from all engines, so that no other of their class and set of engines is tried
-		var full []any    // sets that a job before waits for
-		coldOnly := false // a job before waits for the others
-		at := slices.IndexFunc(c.held, func(j *job) (waits bool) {
-			fresh := j.line == nil && j.sent == 0
-			like := func(o *job) bool { return o.class == j.class && o.set == j.set }
-			if fresh && slices.ContainsFunc(barred, like) || j.set != nil && slices.Contains(full, j.set) {
+	if c.now >= c.rankedAt+c.settings.Tick {
+		c.rankQueue()
+	}
+	for c.updateTotals(); len(c.queue) > 0 && (c.coldCount > 0 || c.hasRoomFor(1)); c.updateTotals() {
+		var selected *engine
+		var blocked []*job // no engine may take these now, so that others of their class and engine set are not tried
+		var fullSets []any // engine sets that an earlier job waits for
+		coldOnly := false  // an earlier job waits for room on warm engines, so later ones may only use cold engines
+		index := slices.IndexFunc(c.queue, func(j *job) (waits bool) {
+			firstUnordered := j.keyQueue == nil && j.attemptCount == 0
+			alike := func(other *job) bool { return other.class == j.class && other.engineSet == j.engineSet }
+			if firstUnordered && slices.ContainsFunc(blocked, alike) || j.engineSet != nil && slices.Contains(fullSets, j.engineSet) {
 				return false
 			}
-			if to, waits = c.choose(j, coldOnly); to != nil {
+			if selected, waits = c.selectEngine(j, coldOnly); selected != nil {
 				return true
-			} else if fresh && !waits && (j.place == nil || j.place.Room()) {
-				barred = append(barred, j)
-			} else if waits && j.set != nil && c.roomFor(j.class.Threads) {
-				full, waits = append(full, j.set), false // others' engines may have room
+			} else if firstUnordered && !waits && (j.placement == nil || j.placement.Room()) {
+				blocked = append(blocked, j)
+			} else if waits && j.engineSet != nil && c.hasRoomFor(j.class.Threads) {
+				fullSets, waits = append(fullSets, j.engineSet), false // engines outside of the set may have room
 			}
 			coldOnly = coldOnly || waits
-			return waits && c.cold == 0
+			return waits && c.coldCount == 0
 		})
-		if to == nil {
+		if selected == nil {
 			return
 		}
-		c.send(c.held[at], to)
-	}
-}
-
-// fleet sums up the engines in use and what of their limits was left unused of late, as credit. When most are
-// suspected, a cause common to them is likelier than as many faults; all are used. Credit guards against the
-// narrow limits of many controllers when jobs bunch; there is none in congestion, and a little may be owed.
-// It is a thread a core over all controllers: more of it, saved up by all, tipped engines as a burst began.
-// Cold engines are left to rule 4: guards the others against jobs for which only the cold have limits.
-func (c *Controller) fleet() {
-	most := math.Min(c.widest, c.cores*c.list.reach/c.many) * math.Min(1, 8*math.Max(0, 1.25-c.slow.value))
-	c.credit = math.Max(-0.3*c.widest, math.Min(c.credit+(c.limit-c.threads)*(c.now-c.metered).Seconds(), most))
-	var bad, badLimit, badThreads float64
-	c.metered, c.up, c.cores, c.cold, c.entire, c.limit, c.threads = c.now, 0, 0, 0, 0, 0, 0
-	for _, e := range c.engines {
-		if e.state != Up {
+		c.startAttempt(c.queue[index], selected)
+	}
+}
+
+// updateTotals sums up the engines in use and updates the burst credit: the part of their limits that was left unused
+// lately. When most engines are suspected, a common cause is more likely than that many separate faults, and all are used.
+//
+// The credit lets a controller exceed its limit for a moment when jobs arrive in bunches, as the limits of each of many
+// controllers are narrow. There is none in congestion, and it may go slightly negative. It is capped at a thread
+// per core, divided among all controllers: with more than that, saved up by all of them, engines were overloaded to the
+// point of collapse as a burst began.
+//
+// Only rule 4 (cold engines) limits the work of cold engines. Counting their limits here would send jobs to the
+// other engines for which only the cold ones have room.
+func (c *Controller) updateTotals() {
+	maxCredit := math.Min(c.maxJobThreads, c.upCores*c.list.coreRatio/c.controllerCount) * math.Min(1, 8*math.Max(0, 1.25-c.slowness.value))
+	c.burstCredit = math.Max(-0.3*c.maxJobThreads, math.Min(c.burstCredit+(c.usableLimit-c.busyThreads)*(c.now-c.creditUpdatedAt).Seconds(), maxCredit))
+	var suspectedCount, suspectedLimit, suspectedThreads float64
+	c.creditUpdatedAt, c.upCount, c.upCores, c.coldCount, c.upLimit, c.usableLimit, c.busyThreads = c.now, 0, 0, 0, 0, 0, 0
+	for _, e := range c.candidates {
+		if e.health != Up {
 			continue
 		}
 		limit := e.limit
 		if e.coldLimit.Cold(c.now) {
-			c.cold, limit = c.cold+1, e.threads
+			c.coldCount, limit = c.coldCount+1, e.busyThreads
 		}
-		c.up, c.cores, c.entire = c.up+1, c.cores+e.cores, c.entire+e.limit
-		c.limit, c.threads = c.limit+limit, c.threads+e.threads
+		c.upCount, c.upCores, c.upLimit = c.upCount+1, c.upCores+e.cores, c.upLimit+e.limit
+		c.usableLimit, c.busyThreads = c.usableLimit+limit, c.busyThreads+e.busyThreads
 		if e.suspected {
-			bad, badLimit, badThreads = bad+1, badLimit+limit, badThreads+e.threads
+			suspectedCount, suspectedLimit, suspectedThreads = suspectedCount+1, suspectedLimit+limit, suspectedThreads+e.busyThreads
 		}
 	}
-	if c.common = 3*bad > 2*c.up; !c.common {
-		c.limit, c.threads = c.limit-badLimit, c.threads-badThreads
+	if c.commonFault = 3*suspectedCount > 2*c.upCount; !c.commonFault {
+		c.usableLimit, c.busyThreads = c.usableLimit-suspectedLimit, c.busyThreads-suspectedThreads
 	}
 }
 
-// roomFor guards against many controllers that each put one job on every engine: where limits are under a
-// thread, all that is out keeps to their sum and the credit, or is one job, and one that passes wider ones.
-// When engines are lost one each is too much: at twice the best latency a wide one waits for what is owed.
-func (c *Controller) roomFor(threads float64) bool {
-	if c.threads == 0 {
-		return c.credit >= 0 || c.slow.value < 2 || threads <= math.Max(c.limit, 1)
+// hasRoomFor reports whether the controller as a whole may dispatch a job of so many threads. It guards against many
+// controllers that each put one job on every engine where limits are under a thread: all jobs in flight must fit the
+// sum of the limits plus the burst credit. A job that does not fit is still dispatched if nothing is in flight, or
+// if all jobs in flight are wider. When engines are lost, one job per controller is already too much: at twice the
+// best latency, a job wider than the sum of the limits waits until the credit is not negative.
+func (c *Controller) hasRoomFor(threads float64) bool {
+	if c.busyThreads == 0 {
+		return c.burstCredit >= 0 || c.slowness.value < 2 || threads <= math.Max(c.usableLimit, 1)
 	}
-	return c.threads+threads/2 <= c.limit+math.Max(c.credit, 0) ||
-		!slices.ContainsFunc(c.engines, func(e *engine) bool {
-			return slices.ContainsFunc(e.out, func(j *job) bool { return j.class.Threads <= threads })
+	return c.busyThreads+threads/2 <= c.usableLimit+math.Max(c.burstCredit, 0) ||
+		!slices.ContainsFunc(c.candidates, func(e *engine) bool {
+			return slices.ContainsFunc(e.inFlight, func(j *job) bool { return j.class.Threads <= threads })
 		})
 }
 
-// deal guards against limits narrower than a job, which are none: they are dealt out anew to so few engines
-// as have room for the widest job each, the subset, of which none drains.
-func (c *Controller) deal() {
-	c.subset = math.Max(1, math.Min(math.Ceil(c.entire/c.widest), c.up))
-	part := c.subset / c.cores // of all controllers that a core has
-	if c.subset == c.up {
-		part = 1
+// allocateLimits guards against limits that are narrower than a job, which would never admit one. It concentrates the sum of
+// the limits on as few engines as gives each of them room for the widest job. These engines, none of which is
+// draining, are the controller's subset.
+func (c *Controller) allocateLimits() {
+	c.subsetSize = math.Max(1, math.Min(math.Ceil(c.upLimit/c.maxJobThreads), c.upCount))
+	controllersPerCore := c.subsetSize / c.upCores // fraction of all controllers that have an engine in their subset, per core
+	if c.subsetSize == c.upCount {
+		controllersPerCore = 1
 	}
-	for _, e := range c.engines {
-		if e.dealt = 0; e.state == Up && e.rank < int(c.subset) {
-			e.dealt = e.limit / math.Min(1, part*e.cores)
+	for _, e := range c.candidates {
+		if e.allocatedLimit = 0; e.health == Up && e.subsetRank < int(c.subsetSize) {
+			e.allocatedLimit = e.limit / math.Min(1, controllersPerCore*e.cores)
 		}
 	}
 }
 
-// roomFor lets a wide job overlap the limit by half, or a narrow limit would never pass it.
-func (e *engine) roomFor(threads float64) bool {
-	return len(e.out) == 0 || e.threads+threads/2 <= e.dealt
+// hasRoomFor reports whether a job of so many threads fits the engine's allocated limit. Half of the job may exceed the
+// limit, as a narrow limit would otherwise never admit a wide job. An idle engine always has room.
+func (e *engine) hasRoomFor(threads float64) bool {
+	return len(e.inFlight) == 0 || e.busyThreads+threads/2 <= e.allocatedLimit
 }
 
-// choose gives the engine with most room that the rules and its health allow. Without one, waits tells that
-// only room lacks: others wait behind such a job, not behind one held by a rule, and not for cold engines.
-func (c *Controller) choose(j *job, coldOnly bool) (best *engine, waits bool) {
-	if !c.mayLeave(j) {
+// selectEngine returns the engine with the most room that the rules and its health allow, or nil. Without an engine, waits
+// reports that nothing but room is missing: later jobs then wait behind this one. They do not wait behind a job that a
+// rule holds back, and may still go to cold engines.
+func (c *Controller) selectEngine(j *job, coldOnly bool) (best *engine, waits bool) {
+	if !c.mayDispatch(j) {
 		return nil, false
 	}
-	most := math.Inf(-1)
-	if coldOnly = coldOnly || !c.roomFor(j.class.Threads); coldOnly && c.cold == 0 {
+	bestScore := math.Inf(-1)
+	if coldOnly = coldOnly || !c.hasRoomFor(j.class.Threads); coldOnly && c.coldCount == 0 {
 		return nil, true
 	}
 	waits = true
-	c.deal()
-	for _, e := range c.engines {
+	c.allocateLimits()
+	for _, e := range c.candidates {
 		if coldOnly && !e.coldLimit.Cold(c.now) {
 			continue
 		}
-		if !c.mayGoTo(j, e) || !e.coldLimit.Allows(c.now, c.usualWork(j), c.share(e)) {
-			waits = waits && (e.state != Up || !j.placed(e))
+		if !c.mayRunOn(j, e) || !e.coldLimit.Allows(c.now, c.typicalWork(j), c.subsetShare(e)) {
+			waits = waits && (e.health != Up || !j.placementAllows(e))
 			continue
 		}
-		well := !e.suspected || c.common || c.now >= e.trial && len(e.out) == 0 && j.class.Repeat != NonIdempotent
-		if score := e.dealt - e.threads + c.liking(j, e); score > most && well && e.roomFor(j.class.Threads) {
-			best, most = e, score
+		healthy := !e.suspected || c.commonFault || c.now >= e.nextTrialAt && len(e.inFlight) == 0 && j.class.Repeat != NonIdempotent
+		if score := e.allocatedLimit - e.busyThreads + c.preference(j, e); score > bestScore && healthy && e.hasRoomFor(j.class.Threads) {
+			best, bestScore = e, score
 		}
 	}
 	return best, waits || coldOnly
 }
 
-// liking weighs, in threads, what tells engines of nearly equal room apart.
-func (c *Controller) liking(j *job, e *engine) float64 {
-	// Chance tells equals apart, or every controller would take the first. A report of memory granted tells
-	// for about a second.
-	like := c.rng.Float64()/4 - 2*(e.full-c.full.value)*math.Exp(e.reported-c.now.Seconds())
-	if c.slow.value > 0 {
-		like -= e.slow.Slow(c.now) / c.slow.value
+// preference returns what is added to an engine's free threads in the comparison of engines of nearly equal room, in
+// threads.
+func (c *Controller) preference(j *job, e *engine) float64 {
+	// The random part breaks ties, as every controller would take the first engine otherwise. A report of memory granted
+	// loses its weight over about a second.
+	score := c.rng.Float64()/4 - 2*(e.memoryGranted-c.memoryGranted.value)*math.Exp(e.memoryReportedAtS-c.now.Seconds())
+	if c.slowness.value > 0 {
+		score -= e.slowness.Slow(c.now) / c.slowness.value
 	}
-	if e.location == c.set.Location {
-		like += 0.5 // crossing costs little, so only near-equals
+	if e.location == c.settings.Location {
+		score += 0.5 // another location costs little, so this decides only between nearly equal engines
 	}
-	if slices.ContainsFunc(j.maybeRan, func(d *attempt) bool { return d.engine == e }) {
-		like -= e.cores // it failed or stood still there
+	if slices.ContainsFunc(j.maybeExecuted, func(earlier *attempt) bool { return earlier.engine == e }) {
+		score -= e.cores // an earlier attempt failed or stalled there
 	}
-	for _, o := range e.out {
-		if o.class.HoldsLoad && o.tables == j.tables && (j.class.StandsBy || j.class.HoldsLoad) {
-			like -= e.cores // it would stand still there
+	for _, other := range e.inFlight {
+		if other.class.HoldsLoad && other.tables == j.tables && (j.class.StandsBy || j.class.HoldsLoad) {
+			score -= e.cores // it would block on tables that a load holds there
 		}
 	}
-	return like
+	return score
 }
 
-// The rules' guards follow, each in one place; mayLeave keeps rules 5 and 7 and the number of attempts.
-func (c *Controller) mayLeave(j *job) bool {
-	// The one that has the turn may go again without the rest.
-	if j.line != nil && (j.line.jobs[0] != j || j.sent == 0 && c.now < j.line.rests) {
+// The checks of the rules follow, each in one place.
+
+// mayDispatch checks rule 5 (order by key), rule 7 (retry budget), the room of the placement and the number of attempts.
+func (c *Controller) mayDispatch(j *job) bool {
+	// A retry of the first job of a key need not wait for the quiet period.
+	if j.keyQueue != nil && (j.keyQueue.jobs[0] != j || j.attemptCount == 0 && c.now < j.keyQueue.quietUntil) {
 		return false
 	}
-	return (j.place == nil || j.place.Room()) && (j.sent == 0 || j.sent < c.set.MaxAttempts && c.mayRepeat(j))
+	return (j.placement == nil || j.placement.Room()) && (j.attemptCount == 0 || j.attemptCount < c.settings.MaxAttempts && c.mayRetry(j))
 }
 
-// mayRepeat keeps rule 7, and what the job's placement adds to it.
-func (c *Controller) mayRepeat(j *job) bool {
-	first := c.now
-	if len(j.maybeRan) > 0 {
-		first = j.maybeRan[0].sent
+// mayRetry checks rule 7 (retry budget) and the restrictions that the job's placement adds to it.
+func (c *Controller) mayRetry(j *job) bool {
+	firstSentAt := c.now
+	if len(j.maybeExecuted) > 0 {
+		firstSentAt = j.maybeExecuted[0].sentAt
 	}
-	return c.limits.MayRepeat(c.now) && (j.place == nil || j.place.Further(c.now-first, c.now-j.freed))
+	return c.limits.MayRepeat(c.now) && (j.placement == nil || j.placement.Further(c.now-firstSentAt, c.now-j.lastAttemptEndedAt))
 }
 
-// place narrows the engines of a job, of which some are candidates.
-func (c *Controller) place(j *job, place Placement) {
-	if j.place, j.set = place, nil; place == nil {
+// setPlacement restricts the engines of a job, and makes some of them candidates if none is.
+func (c *Controller) setPlacement(j *job, placement Placement) {
+	if j.placement, j.engineSet = placement, nil; placement == nil {
 		return
 	}
-	j.set = place.Set()
-	allows := func(e *engine) bool { return e.state == Up && place.Allows(e.id) }
-	if !slices.ContainsFunc(c.engines, allows) {
+	j.engineSet = placement.Set()
+	allows := func(e *engine) bool { return e.health == Up && placement.Allows(e.id) }
+	if !slices.ContainsFunc(c.candidates, allows) {
 		c.addCandidates(allows)
 	}
 }
 
-func (j *job) placed(e *engine) bool { return j.place == nil || j.place.Allows(e.id) }
+// placementAllows reports whether the job's placement allows the engine.
+func (j *job) placementAllows(e *engine) bool { return j.placement == nil || j.placement.Allows(e.id) }
 
-// mayGoTo keeps rules 2, 3 and 6 for an attempt to one engine.
-func (c *Controller) mayGoTo(j *job, e *engine) bool {
-	if e.state != Up || !j.class.allows(e) || !j.placed(e) {
+// mayRunOn checks rule 2 (repeats), rule 3 (draining engines) and rule 6 (locations and kinds) for an attempt on
+// one engine.
+func (c *Controller) mayRunOn(j *job, e *engine) bool {
+	if e.health != Up || !j.class.allowsEngine(e) || !j.placementAllows(e) {
 		return false
 	}
-	for _, ran := range j.maybeRan {
-		if j.class.Repeat == NonIdempotent || j.class.Repeat == Keyed && (c.now >= c.lastRepeat(j) ||
-			j.class.Group == GroupLocation && ran.location != e.location ||
-			j.class.Group == GroupCell && ran.cell != e.cell) {
+	for _, earlier := range j.maybeExecuted {
+		if j.class.Repeat == NonIdempotent || j.class.Repeat == Keyed && (c.now >= c.retryCutoff(j) ||
+			j.class.Group == GroupLocation && earlier.location != e.location ||
+			j.class.Group == GroupCell && earlier.cell != e.cell) {
 			return false
 		}
 	}
 	return true
 }
 
-// lastRepeat is when a job that may have run may go again no more: a tick inside the window of the earliest
-// time, as the clock only moves by ticks.
-func (c *Controller) lastRepeat(j *job) time.Duration {
-	if j.class.Repeat != Keyed || len(j.maybeRan) == 0 {
+// retryCutoff returns the time from which a keyed job that may have run must not be dispatched again: the end of the
+// deduplication window of its earliest attempt, less one tick, as the clock only moves by ticks.
+func (c *Controller) retryCutoff(j *job) time.Duration {
+	if j.class.Repeat != Keyed || len(j.maybeExecuted) == 0 {
 		return math.MaxInt64
 	}
-	return j.maybeRan[0].sent + j.class.Window - c.set.Tick
+	return j.maybeExecuted[0].sentAt + j.class.Window - c.settings.Tick
 }
 
-// share is the part of all controllers that have an engine in their subset, by its cores, none where this
-// one has not.
-func (c *Controller) share(e *engine) float64 {
-	if e.dealt == 0 {
+// subsetShare returns the fraction of all controllers that have the engine in their subset, by its cores, or 0 if it is
+// not in this controller's subset.
+func (c *Controller) subsetShare(e *engine) float64 {
+	if e.allocatedLimit == 0 {
 		return 0
 	}
-	return e.limit / e.dealt / c.list.reach
+	return e.limit / e.allocatedLimit / c.list.coreRatio
 }
 
-func (c *Controller) usualWork(j *job) time.Duration {
-	return time.Duration(cmp.Or(j.class.work.value, float64(j.class.LatencyTarget)*j.class.Threads))
+// typicalWork returns the mean thread time of a job of this class, or the latency target on all its threads before
+// any answer was seen.
+func (c *Controller) typicalWork(j *job) time.Duration {
+	return time.Duration(cmp.Or(j.class.threadNs.value, float64(j.class.LatencyTarget)*j.class.Threads))
 }
 
-func (c *Controller) send(j *job, e *engine) {
-	c.unhold(j)
-	d := &attempt{engine: e, sent: c.now, expected: c.expect(j), noted: c.now}
-	d.location, d.cell = e.location, e.cell
-	c.terms(j, e)
-	if j.sent > 0 {
+// startAttempt removes the job from the queue and starts an attempt on the engine.
+func (c *Controller) startAttempt(j *job, e *engine) {
+	c.dequeue(j)
+	started := &attempt{engine: e, sentAt: c.now, expectedLatency: c.expectedLatency(j), progressAt: c.now}
+	started.location, started.cell = e.location, e.cell
+	c.setTerms(j, e)
+	if j.attemptCount > 0 {
 		c.limits.Repeated(c.now)
 	}
-	j.sent++
-	j.out = d
-	within := c.lastRepeat(j) - c.now
-	j.maybeRan = append(j.maybeRan, d)
-	e.out = append(e.out, j)
-	e.threads += j.class.Threads
-	e.coldLimit.Sent(c.now, c.usualWork(j), c.share(e))
-	e.trial = c.now + e.wait // read only while suspected
-	until := j.d
+	j.attemptCount++
+	j.inFlight = started
+	startWithin := c.retryCutoff(j) - c.now
+	j.maybeExecuted = append(j.maybeExecuted, started)
+	e.inFlight = append(e.inFlight, j)
+	e.busyThreads += j.class.Threads
+	e.coldLimit.Sent(c.now, c.typicalWork(j), c.subsetShare(e))
+	e.nextTrialAt = c.now + e.trialBackoff // read only while suspected
+	answerBy := j.deadline
 	if j.class.LateValue == 0 {
-		// A late answer earns nothing: an engine with too much to do is spared it.
-		until = min(until, c.target(j)+d.expected/2)
+		// A late answer earns nothing, so an overloaded engine need not compute it.
+		answerBy = min(answerBy, c.targetTime(j)+started.expectedLatency/2)
 	}
-	timeout := max(until-c.now, 1)
-	c.host.Attempt(j.id, e.id, timeout, min(timeout, within))
+	timeout := max(answerBy-c.now, 1)
+	c.host.Attempt(j.id, e.id, timeout, min(timeout, startWithin))
 }
 
-// terms sets memory and priority. Where an overfull memory only counts what is needed, a generous grant costs
-// nothing and spares the spill; elsewhere the grant stays near the need.
-func (c *Controller) terms(j *job, e *engine) {
-	if j.memory <= 0 || !c.set.GrantsCount {
+// setTerms sets the memory grant and the priority of the next attempt. Where engines swap when memory is overcommitted, only
+// the memory that jobs need counts, so a generous grant costs nothing and avoids spills. Elsewhere the grant stays near
+// the need.
+func (c *Controller) setTerms(j *job, e *engine) {
+	if j.declaredMemoryMB <= 0 || !c.settings.GrantsCount {
 		return
 	}
-	grant := j.memory * cmp.Or(j.class.memory.value, 1) * 1.25
-	if c.set.OverGrantsPage {
-		grant *= 1.28
+	grantMB := j.declaredMemoryMB * cmp.Or(j.class.memoryRatio.value, 1) * 1.25
+	if c.settings.OverGrantsPage {
+		grantMB *= 1.28
 	}
-	grant = math.Min(grant, cmp.Or(c.set.GrantShare*e.memoryMB, grant))
+	grantMB = math.Min(grantMB, cmp.Or(c.settings.GrantShare*e.memoryMB, grantMB))
 	priority := 1
-	if c.set.PriorityHeeded && j.slack < c.expect(j) {
+	if c.settings.PriorityHeeded && j.slack < c.expectedLatency(j) {
 		priority = 2
 	}
-	c.host.SetTerms(j.id, grant, priority)
+	c.host.SetTerms(j.id, grantMB, priority)
 }
 
-func (c *Controller) AttemptOver(now time.Duration, id JobID, n int, eid EngineID, o Outcome,
-	took time.Duration, over bool, work time.Duration, memory float64, load Load) {
+// AttemptOver handles the end of a job's attempt. over says that the job has its final answer, work and memory are the
+// thread time and megabytes that the engine reported, or 0.
+func (c *Controller) AttemptOver(now time.Duration, id JobID, attemptIndex int, engineID EngineID, outcome Outcome,
+	latency time.Duration, jobOver bool, work time.Duration, memoryMB float64, load Load) {
 	c.now = now
 	j := c.jobs[id]
-	if j == nil || j.out == nil {
+	if j == nil || j.inFlight == nil {
 		return
 	}
-	d, e := j.out, j.out.engine
-	j.out, j.freed = nil, now
-	e.out = without(e.out, j)
-	e.threads -= j.class.Threads
-	if o == TurnedAway || o == NoConnection || o == NotSent { // proves that it never ran
-		j.maybeRan = j.maybeRan[:len(j.maybeRan)-1]
+	ended, e := j.inFlight, j.inFlight.engine
+	j.inFlight, j.lastAttemptEndedAt = nil, now
+	e.inFlight = without(e.inFlight, j)
+	e.busyThreads -= j.class.Threads
+	if outcome == TurnedAway || outcome == NoConnection || outcome == NotSent { // these prove that the job did not run
+		j.maybeExecuted = j.maybeExecuted[:len(j.maybeExecuted)-1]
 	}
-	if j.line != nil && (o == TimedOut || o == ConnectionLost || o == Recalled) {
-		j.line.rests = now + c.set.KeyQuiet
+	if j.keyQueue != nil && (outcome == TimedOut || outcome == ConnectionLost || outcome == Recalled) {
+		j.keyQueue.quietUntil = now + c.settings.KeyQuiet
 	}
 	if load.MemoryGranted > 0 {
-		e.full, e.reported = load.MemoryGranted, now.Seconds()
-		c.full.add(e.full, fullOver)
+		e.memoryGranted, e.memoryReportedAtS = load.MemoryGranted, now.Seconds()
+		c.memoryGranted.add(e.memoryGranted, memorySamples)
 	}
-	c.judge(j, d, o)
-	c.earn(j, o)
-	if o == Done {
-		c.learn(j, d, took, work, memory, load.MemoryGranted)
-	} else if o == TimedOut && took > d.expected {
-		// Guards against learning only from the jobs that a congested engine still answers.
-		c.fit(e, j, mostSlow, 0)
+	c.updateHealth(j, ended, outcome)
+	c.earnRetryCredit(j, outcome)
+	if outcome == Done {
+		c.recordAnswer(j, ended, latency, work, memoryMB, load.MemoryGranted)
+	} else if outcome == TimedOut && latency > ended.expectedLatency {
+		// Without this, limits would be adjusted only by the jobs that a congested engine still answers.
+		c.adjustLimits(e, j, maxSlowness, 0)
 	}
 	switch {
-	case over || j.ended || o == Done:
-		c.forget(j)
-	case c.hopeless(j) || !c.couldGo(j):
-		c.end(j)
+	case jobOver || j.finished || outcome == Done:
+		c.removeJob(j)
+	case c.tooLate(j) || !c.hasRetryTarget(j):
+		c.rejectOrFail(j)
 	default:
-		c.hold(j)
+		c.enqueue(j)
 	}
-	c.release()
+	c.dispatchQueued()
 }
 
-// Began keeps rule 7 where a further attempt has waited.
+// Began checks rule 7 (retry budget) again for a retry that waited for a connection after it was decided.
 func (c *Controller) Began(now time.Duration, id JobID) bool {
 	j := c.jobs[id]
-	return j == nil || j.out == nil || j.sent < 2 || c.limits.Began(j.out.sent, now)
+	return j == nil || j.inFlight == nil || j.attemptCount < 2 || c.limits.Began(j.inFlight.sentAt, now)
 }
 
-// earn counts a job for further attempts once an engine has had it, did not refuse it as faulty, and its client waits on.
-func (c *Controller) earn(j *job, o Outcome) {
-	if j.earned || j.ended || o == NoConnection || o == NotSent || o == Errored {
+// earnRetryCredit adds a job to the base of the retry budget, once, when an engine has received it and not refused it as faulty
+// while its client was still waiting.
+func (c *Controller) earnRetryCredit(j *job, outcome Outcome) {
+	if j.earnedRetryCredit || j.finished || outcome == NoConnection || outcome == NotSent || outcome == Errored {
 		return
 	}
-	j.earned = true
-	c.limits.Earned(c.now, j.taken)
+	j.earnedRetryCredit = true
+	c.limits.Earned(c.now, j.arrivedAt)
 }
 
-func (c *Controller) couldGo(j *job) bool {
-	allows := func(e *engine) bool { return c.mayGoTo(j, e) }
-	return j.sent < c.set.MaxAttempts && (slices.ContainsFunc(c.engines, allows) || c.addCandidates(allows))
+// hasRetryTarget reports whether the job has attempts left and an engine that the rules allow it, among the candidates or
+// beyond them.
+func (c *Controller) hasRetryTarget(j *job) bool {
+	allows := func(e *engine) bool { return c.mayRunOn(j, e) }
+	return j.attemptCount < c.settings.MaxAttempts && (slices.ContainsFunc(c.candidates, allows) || c.addCandidates(allows))
 }
 
-func (c *Controller) judge(j *job, d *attempt, o Outcome) {
-	e := d.engine
-	switch o {
+// updateHealth updates the failure detection of an engine with the outcome of an attempt, and suspects or clears it.
+func (c *Controller) updateHealth(j *job, ended *attempt, outcome Outcome) {
+	e := ended.engine
+	switch outcome {
 	case Done:
-		e.answered, e.silent, e.errors = c.now, 0, e.errors*0.8
+		e.lastAnswerAt, e.unansweredCount, e.errorRate = c.now, 0, e.errorRate*0.8
 		if e.suspected {
-			e.suspected, e.wait, e.errors = false, 0, 0
+			e.suspected, e.trialBackoff, e.errorRate = false, 0, 0
 			c.host.Suspects(e.id, false)
 			c.host.Log(fmt.Sprintf("engine %s answers again", e.id))
 		}
 	case Errored, ConnectionLost:
-		// Guards against an engine that fails jobs fast and so seems to have room: two in a row, or a third.
-		e.answered, e.silent, e.errors = c.now, 0, e.errors*0.8+0.2
-		if e.errors > 0.35 || e.suspected {
+		// An engine that fails jobs quickly always seems to have room. It is suspected after two errors in a row, or
+		// when about a third of its jobs fail.
+		e.lastAnswerAt, e.unansweredCount, e.errorRate = c.now, 0, e.errorRate*0.8+0.2
+		if e.errorRate > 0.35 || e.suspected {
 			c.suspect(e, "errors")
 		}
 	case TimedOut, Recalled:
-		// Guards against an engine that takes jobs and answers none: three, all sent since its last answer.
-		if d.sent > e.answered && !j.ended {
-			e.silent++
+		// An engine may accept jobs and answer none. It is suspected after three unanswered attempts, all sent after its
+		// last answer.
+		if ended.sentAt > e.lastAnswerAt && !j.finished {
+			e.unansweredCount++
 		}
-		if e.silent >= 3 {
+		if e.unansweredCount >= 3 {
 			c.suspect(e, "silence")
 		}
 	case NoConnection:
-		c.suspect(e, o.String())
+		c.suspect(e, outcome.String())
 	}
 }
 
-// suspect takes an engine out of choice but for one trial job after each of growing waits.
-func (c *Controller) suspect(e *engine, why string) {
+// suspect ejects an engine from selection, except for one trial job after each backoff. The backoff starts
+// at 250 ms and doubles with each failed trial, up to 4 s.
+func (c *Controller) suspect(e *engine, reason string) {
 	if !e.suspected {
 		c.host.Suspects(e.id, true)
-		c.host.Log(fmt.Sprintf("engine %s suspected: %s", e.id, why))
-		e.wait = 250 * time.Millisecond
-	} else if c.now < e.trial-e.wait/2 && len(e.out) > 0 {
-		return // more of the same news
+		c.host.Log(fmt.Sprintf("engine %s suspected: %s", e.id, reason))
+		e.trialBackoff = 250 * time.Millisecond
+	} else if c.now < e.nextTrialAt-e.trialBackoff/2 && len(e.inFlight) > 0 {
+		return // the failure of an attempt sent before the backoff, not of the trial
 	} else {
-		e.wait = min(2*e.wait, 4*time.Second)
-	}
-	// Drawn, as all controllers that lost it together would try it together.
-	e.suspected, e.trial = true, c.now+time.Duration((0.75+c.rng.Float64()/2)*float64(e.wait))
-}
-
-// Answers that take less than two thirds of their told cost tell that told costs scatter or lean: no
-// congestion brings them about, and warm data and fast cores seldom save as much; one in twenty of late is
-// enough. Guards against classes whose costs are told too low, which look like congestion to a controller
-// that has few answers. Harm: where some jobs keep their data warm while others wait, congestion is seen
-// later.
-const underOver, someUnder, farUnder = 40, 0.05, 0.65
-
-// One bad plan or wait behind a load shrinks no limit; memory granted spans about a limit's worth of answers.
-// The means of a class span learnOver jobs, seconds of a quick class.
-const mostSlow, fullOver, learnOver = 4, 20, 60
-
-func (c *Controller) learn(j *job, d *attempt, took, work time.Duration, memory, full float64) {
-	r := j.class
-	x := float64(took) / j.unitCost()
-	if j.cost > 0 {
-		under := 0.0
-		if x < farUnder {
-			under = 1
+		e.trialBackoff = min(2*e.trialBackoff, 4*time.Second)
+	}
+	// With jitter, as all controllers that lost the engine at the same time would otherwise try it at the same time.
+	e.suspected, e.nextTrialAt = true, c.now+time.Duration((0.75+c.rng.Float64()/2)*float64(e.trialBackoff))
+}
+
+// Answers that take less than two thirds of their declared cost show that declared costs scatter or are biased:
+// congestion does not cause them, and warm caches and fast cores seldom save as much. One in twenty of the recent
+// answers is enough. This guards against classes whose declared costs are too low, which look like congestion to a
+// controller that has few answers. The drawback: where some jobs keep their data cached while others wait, congestion
+// is detected later.
+const underestimateSamples, minUnderestimatedShare, underestimateRatio = 40, 0.05, 0.65
+
+// The slowness of an answer is capped at maxSlowness, so that a single bad query plan or a wait for a load does not
+// shrink a limit. The mean of memory granted spans memorySamples answers, about as many as a limit admits at a time. The
+// means of a class span classSamples jobs, which is some seconds for a class of short jobs.
+const maxSlowness, memorySamples, classSamples = 4, 20, 60
+
+// recordAnswer updates the statistics of the job's class from its answer, and adjusts the limits by how slow it was. memory is
+// what the job needed, in megabytes, or 0; full is the share of memory granted that the engine reported.
+func (c *Controller) recordAnswer(j *job, ended *attempt, latency, work time.Duration, memoryMB, memoryGranted float64) {
+	jobClass := j.class
+	unitLatency := float64(latency) / j.costPerThread()
+	if j.declaredCostNs > 0 {
+		underestimated := 0.0
+		if unitLatency < underestimateRatio {
+			underestimated = 1
 		}
-		c.under.add(under, underOver)
-	}
-	if r.unit.n > 5 {
-		x = math.Min(x, 4*r.unit.value) // one bad plan does not move the mean
-		r.spread.add(math.Pow(x/r.unit.value-1, 2), learnOver)
-	}
-	r.unit.add(x, learnOver)
-	r.work.add(cmp.Or(float64(work), j.cost, r.best*r.Threads, float64(took)*r.Threads), learnOver)
-	if memory > 0 && j.memory > 0 {
-		r.memory.add(memory/j.memory, learnOver)
-	}
-	// The best latency is forgotten in 60 s, or one lucky time would shrink every limit for good.
-	if r.best > 0 && (j.cost > 0 || r.unit.n > 30) {
-		r.best = math.Min(r.unit.value, r.best*math.Exp((c.now-r.bestAt).Seconds()/60))
-	} else if r.unit.n >= 10 || j.cost > 0 && r.unit.n >= 5 {
-		r.best = r.unit.value
-	}
-	r.bestAt = c.now
-	best := r.best
-	if j.cost > 0 && (best == 0 || best > 1) { // until much is learned, a told cost is the time if alone
-		best = 1 + math.Max(best-1, 0)*r.unit.n/learnOver
-	}
-	if best > 0 {
-		slow := math.Min(float64(took)/(j.unitCost()*best), mostSlow)
-		if j.cost > 0 && c.under.value > someUnder {
-			slow *= min(1, max(1-luck*math.Sqrt(r.spread.value/(2*learnOver)), best/r.unit.value))
-			// What is over the target counts by how much is learned, squared, as many such answers add up.
-			slow -= math.Max(slow-slowTold/slowAll, 0) * (1 - math.Pow(r.unit.n/learnOver, 2))
+		c.underestimatedShare.add(underestimated, underestimateSamples)
+	}
+	if jobClass.unitLatency.samples > 5 {
+		unitLatency = math.Min(unitLatency, 4*jobClass.unitLatency.value) // a single bad query plan must not move the mean far
+		jobClass.relativeVariance.add(math.Pow(unitLatency/jobClass.unitLatency.value-1, 2), classSamples)
+	}
+	jobClass.unitLatency.add(unitLatency, classSamples)
+	jobClass.threadNs.add(cmp.Or(float64(work), j.declaredCostNs, jobClass.bestUnitLatency*jobClass.Threads, float64(latency)*jobClass.Threads), classSamples)
+	if memoryMB > 0 && j.declaredMemoryMB > 0 {
+		jobClass.memoryRatio.add(memoryMB/j.declaredMemoryMB, classSamples)
+	}
+	// The best latency decays with a time constant of 60 s, as one lucky answer would shrink every limit for good.
+	if jobClass.bestUnitLatency > 0 && (j.declaredCostNs > 0 || jobClass.unitLatency.samples > 30) {
+		jobClass.bestUnitLatency = math.Min(jobClass.unitLatency.value, jobClass.bestUnitLatency*math.Exp((c.now-jobClass.bestUpdatedAt).Seconds()/60))
+	} else if jobClass.unitLatency.samples >= 10 || j.declaredCostNs > 0 && jobClass.unitLatency.samples >= 5 {
+		jobClass.bestUnitLatency = jobClass.unitLatency.value
+	}
+	jobClass.bestUpdatedAt = c.now
+	bestUnitLatency := jobClass.bestUnitLatency
+	if j.declaredCostNs > 0 && (bestUnitLatency == 0 || bestUnitLatency > 1) { // until many answers were seen, the declared cost counts as the latency on an idle engine
+		bestUnitLatency = 1 + math.Max(bestUnitLatency-1, 0)*jobClass.unitLatency.samples/classSamples
+	}
+	if bestUnitLatency > 0 {
+		slowness := math.Min(float64(latency)/(j.costPerThread()*bestUnitLatency), maxSlowness)
+		if j.declaredCostNs > 0 && c.underestimatedShare.value > minUnderestimatedShare {
+			slowness *= min(1, max(1-bestLatencyStdDevs*math.Sqrt(jobClass.relativeVariance.value/(2*classSamples)), bestUnitLatency/jobClass.unitLatency.value))
+			// Slowness over the target counts by the square of how much is learned, as many such answers add up.
+			slowness -= math.Max(slowness-steadySlowness/fleetSlownessFactor, 0) * (1 - math.Pow(jobClass.unitLatency.samples/classSamples, 2))
 		}
-		c.fit(d.engine, j, slow, full)
-	}
-}
-
-// luck is how many of its own standard deviations the least of a running mean lies below it, seen over a
-// minute. Guards against told costs that scatter, whose lucky best makes calm engines look slow. It takes off
-// no more than the best is below the mean.
-const luck = 2
-
-// slowTold is the slowness at which an engine is busy and not thrashing, where costs are told; all together
-// stand still at 1.5.
-const slowTold, slowAll = 1.6, 1.07
-
-// fit widens or shrinks limits. Target is the slowness at which one stands still; with no cost told the
-// best mean is lucky and lies lower. Least, an even share of the cores, guards against starving beside
-// controllers that stay wide; most is two threads a core, and up to eight while all is quick, as some
-// controllers get several times the mean.
-func (c *Controller) fit(e *engine, j *job, slow, full float64) {
-	const least, most, wide = 1.0, 2.0, 8.0
-	target := slowTold
-	if j.cost == 0 {
-		target = 2.0
-	}
-	push := func(slow, limit float64, binds bool) float64 {
-		p := math.Max(math.Min(3*(target-slow)/target, 1), -1)
-		if p > 0 && !binds {
+		c.adjustLimits(ended.engine, j, slowness, memoryGranted)
+	}
+}
+
+// bestLatencyStdDevs is how many of its own standard deviations the minimum of a running mean lies below it, over a minute. It
+// corrects for declared costs that scatter: their lucky minimum makes engines without congestion look slow. The
+// correction never exceeds the distance of the minimum from the mean.
+const bestLatencyStdDevs = 2
+
+// steadySlowness is the slowness at which an engine is busy but not thrashing, where costs are declared; its limit then
+// neither grows nor shrinks. fleetSlownessFactor scales the mean slowness of all engines, so that all limits together are
+// steady at a slowness of 1.5.
+const steadySlowness, fleetSlownessFactor = 1.6, 1.07
+
+// adjustLimits grows or shrinks the engine's limit by the slowness of an answer, and all limits by the mean slowness. The
+// target is the slowness at which a limit is steady; it is higher where no cost is declared, as the best mean is then a
+// lucky one and lies lower. full is the share of memory granted, which counts as slowness too. The lower bound, an
+// even share of a thread per core, keeps a controller from starving beside controllers whose limits stay wide. The upper
+// bound is an even share of two threads per core, rising to eight while all answers are quick, as some controllers
+// get several times the mean number of jobs.
+func (c *Controller) adjustLimits(e *engine, j *job, slowness, memoryGranted float64) {
+	const minPerCore, maxPerCore, quickMaxPerCore = 1.0, 2.0, 8.0
+	targetSlowness := steadySlowness
+	if j.declaredCostNs == 0 {
+		targetSlowness = 2.0
+	}
+	adjustment := func(slowness, limit float64, limitReached bool) float64 {
+		step := math.Max(math.Min(3*(targetSlowness-slowness)/targetSlowness, 1), -1)
+		if step > 0 && !limitReached {
 			return 0
 		}
-		// about a thread for each limit's worth of answers
-		return p * math.Min(j.class.Threads/math.Max(limit, 1)/limit, 0.25)
-	}
-	slow = math.Max(slow, math.Min(target*full/1.25, mostSlow))
-	e.slow.Answered(c.now, slow)
-	c.slow.add(slow, 10)
-	c.fleet()
-	e.limit *= 1 + push(e.slow.Slow(c.now), e.limit, e.threads+j.class.Threads+1 >= e.dealt)
-	all := 1 + push(slowAll*c.slow.value, c.limit, c.threads+j.class.Threads/2 >= c.limit)
-	until := most + (wide-most)*math.Max(0, math.Min(1, (1.3-c.slow.value)/0.3))
-	for _, e := range c.engines {
-		cores := e.cores * c.list.reach
-		e.limit = math.Min(math.Max(e.limit*all, least*cores/c.many), until*cores*2/(1+c.many))
-	}
-}
-
-// end gives the final answer: a rejection where it is true that a retry does no harm.
-func (c *Controller) end(j *job) {
-	c.unhold(j)
-	j.ended = true
-	r := j.class
-	if r.Repeat == Idempotent || len(j.maybeRan) == 0 || r.Repeat == Keyed && r.Group == GroupAll {
-		// The advised wait is the time that the held work takes, and up to as much again, or all come back
-		// together.
-		wait := c.drain(j) * (1 + c.rng.Float64()) * float64(time.Second)
-		c.host.Reject(j.id, min(c.set.MaxComeBack, time.Duration(wait)))
+		// About one thread for as many answers as the limit admits at a time.
+		return step * math.Min(j.class.Threads/math.Max(limit, 1)/limit, 0.25)
+	}
+	slowness = math.Max(slowness, math.Min(targetSlowness*memoryGranted/1.25, maxSlowness))
+	e.slowness.Answered(c.now, slowness)
+	c.slowness.add(slowness, 10)
+	c.updateTotals()
+	e.limit *= 1 + adjustment(e.slowness.Slow(c.now), e.limit, e.busyThreads+j.class.Threads+1 >= e.allocatedLimit)
+	fleetFactor := 1 + adjustment(fleetSlownessFactor*c.slowness.value, c.usableLimit, c.busyThreads+j.class.Threads/2 >= c.usableLimit)
+	currentMaxPerCore := maxPerCore + (quickMaxPerCore-maxPerCore)*math.Max(0, math.Min(1, (1.3-c.slowness.value)/0.3))
+	for _, e := range c.candidates {
+		cores := e.cores * c.list.coreRatio
+		e.limit = math.Min(math.Max(e.limit*fleetFactor, minPerCore*cores/c.controllerCount), currentMaxPerCore*cores*2/(1+c.controllerCount))
+	}
+}
+
+// rejectOrFail gives the final answer: a rejection where it is certain that a retry by the client does no harm, or else a
+// failure.
+func (c *Controller) rejectOrFail(j *job) {
+	c.dequeue(j)
+	j.finished = true
+	jobClass := j.class
+	if jobClass.Repeat == Idempotent || len(j.maybeExecuted) == 0 || jobClass.Repeat == Keyed && jobClass.Group == GroupAll {
+		// The client is advised to wait for the time that the queued work takes, and up to as much again at random, as
+		// all clients would otherwise retry at the same time.
+		retryAfter := c.backlogSeconds(j) * (1 + c.rng.Float64()) * float64(time.Second)
+		c.host.Reject(j.id, min(c.settings.MaxComeBack, time.Duration(retryAfter)))
 	} else {
 		c.host.Fail(j.id)
 	}
-	if j.out == nil {
-		c.forget(j)
+	if j.inFlight == nil {
+		c.removeJob(j)
 	}
 }
 
-// linesKept is how many lines without a job are passed over before they are looked through.
-const linesKept = 64
+// maxIdleKeyQueues is how many key queues may be empty before they are scanned for removal.
+const maxIdleKeyQueues = 64
 
-func (c *Controller) forget(j *job) {
+// removeJob drops the state of a job that has its final answer and no attempt in flight.
+func (c *Controller) removeJob(j *job) {
 	delete(c.jobs, j.id)
-	if j.line != nil {
-		j.line.jobs = without(j.line.jobs, j)
+	if j.keyQueue != nil {
+		j.keyQueue.jobs = without(j.keyQueue.jobs, j)
 	}
-	// A line is kept while its key may rest. Guards the memory against keys that never come again.
-	if len(c.lines) > 2*len(c.jobs)+linesKept {
-		maps.DeleteFunc(c.lines, func(_ Key, l *line) bool { return len(l.jobs) == 0 && c.now >= l.rests })
+	// The queue of a key is kept during the key's quiet period. Others are removed, as memory would otherwise grow with
+	// keys that are never used again.
+	if len(c.keyQueues) > 2*len(c.jobs)+maxIdleKeyQueues {
+		maps.DeleteFunc(c.keyQueues, func(_ Key, queue *keyQueue) bool { return len(queue.jobs) == 0 && c.now >= queue.quietUntil })
 	}
 }
 
-// Leaving bounds all deadlines by the end of the process, so that nothing is sent on that can't be answered
-// by then.
-func (c *Controller) Leaving(now, last time.Duration) {
+// Leaving handles the shutdown of the process. It caps all deadlines at last, so that no job is dispatched that can
+// not be answered by then.
+func (c *Controller) Leaving(now, exitBy time.Duration) {
 	c.now = now
 	for _, j := range c.jobs {
-		j.d = min(j.d, last)
+		j.deadline = min(j.deadline, exitBy)
 	}
 }
 
-// Placed narrows a job's engines anew. One that can go to none any more is answered at once.
-func (c *Controller) Placed(now time.Duration, id JobID, place Placement, none bool) {
+// Placed replaces a job's placement. A queued job gets its final answer at once if none says that no engine is left for
+// it, or if it may have run and no engine may take it again.
+func (c *Controller) Placed(now time.Duration, id JobID, placement Placement, noneLeft bool) {
 	if j := c.jobs[id]; j != nil {
 		c.now = now
-		c.place(j, place)
-		if j.out == nil && !j.ended && (none || len(j.maybeRan) > 0 && !c.couldGo(j)) {
-			c.end(j)
+		c.setPlacement(j, placement)
+		if j.inFlight == nil && !j.finished && (noneLeft || len(j.maybeExecuted) > 0 && !c.hasRetryTarget(j)) {
+			c.rejectOrFail(j)
 		}
-		c.release()
+		c.dispatchQueued()
 	}
 }
 
+// ClientGone removes the job of a client that has left from the queue, or recalls its attempt.
 func (c *Controller) ClientGone(now time.Duration, id JobID) {
 	c.now = now
 	if j := c.jobs[id]; j != nil {
-		j.ended = true
-		c.unhold(j)
-		if j.out == nil {
-			c.forget(j)
+		j.finished = true
+		c.dequeue(j)
+		if j.inFlight == nil {
+			c.removeJob(j)
 		} else {
 			c.recall(j)
 		}
-		c.release()
+		c.dispatchQueued()
 	}
 }
 
+// recall asks for the cancellation of the attempt in flight, once, if the settings allow it and no answer has started.
 func (c *Controller) recall(j *job) {
-	if c.set.MayRecall && !j.out.recalled && !j.out.begun {
-		j.out.recalled = true
-		c.host.Recall(j.id, j.sent-1)
+	if c.settings.MayRecall && !j.inFlight.recalled && !j.inFlight.answerStarted {
+		j.inFlight.recalled = true
+		c.host.Recall(j.id, j.attemptCount-1)
 	}
 }
 
-// drain is the seconds that the held jobs keep all limits busy, or those of a set of engines its limits.
-func (c *Controller) drain(of *job) float64 {
-	work, limit := c.work, c.limit
-	if of.set != nil {
-		work, limit = 0, 0
-		for _, j := range c.held {
-			if j.set == of.set {
-				work += j.work
+// backlogSeconds returns how many seconds the queued jobs would keep all limits busy. For a job of an engine set, these are the
+// jobs and the limits of that set.
+func (c *Controller) backlogSeconds(sample *job) float64 {
+	threadNs, limit := c.backlogThreadNs, c.usableLimit
+	if sample.engineSet != nil {
+		threadNs, limit = 0, 0
+		for _, j := range c.queue {
+			if j.engineSet == sample.engineSet {
+				threadNs += j.backlogThreadNs
 			}
 		}
-		for _, e := range c.engines {
-			if e.state == Up && of.placed(e) {
+		for _, e := range c.candidates {
+			if e.health == Up && sample.placementAllows(e) {
 				limit += e.limit
 			}
 		}
 	}
-	return work / 1e9 / math.Max(limit, 1)
+	return threadNs / 1e9 / math.Max(limit, 1)
 }
 
-// shed refuses held jobs of least value for their thread time, the oldest of equals, while more is held than
-// leaves in useful time, half the shortest latency target (all of it left more late).
-func (c *Controller) shed(like *job) {
-	for len(c.held) > 1 && c.drain(like) > c.shortest.Seconds()/2 {
+// shedLoad rejects queued jobs of the same engine set as the given job while more work is queued than can be dispatched in
+// useful time: half the shortest latency target (with the whole of it, more jobs were late). Jobs of the least value for
+// their thread time go first, and the oldest among equals.
+func (c *Controller) shedLoad(sample *job) {
+	for len(c.queue) > 1 && c.backlogSeconds(sample) > c.minLatencyTarget.Seconds()/2 {
 		var worst *job
-		others := 0
-		for _, j := range c.held {
-			if j.set != like.set {
+		sameSet := 0
+		for _, j := range c.queue {
+			if j.engineSet != sample.engineSet {
 				continue
-			} else if others++; worst == nil || cmp.Or(cmp.Compare(j.worth, worst.worth), j.seq-worst.seq) < 0 {
+			} else if sameSet++; worst == nil || cmp.Or(cmp.Compare(j.valueDensity, worst.valueDensity), j.seq-worst.seq) < 0 {
 				worst = j
 			}
 		}
-		if others < 2 {
+		if sameSet < 2 {
 			return
 		}
-		c.end(worst)
+		c.rejectOrFail(worst)
 	}
 }
 
-func (c *Controller) TimerDue(now time.Duration, t TimerID) {
-	if c.now = now; t == askTimer {
+// TimerDue handles a timer that was set with Host.WakeAfter.
+func (c *Controller) TimerDue(now time.Duration, timer TimerID) {
+	if c.now = now; timer == listRetryTimer {
 		c.host.Follow(true)
 		return
 	}
-	// Held jobs that are out of time are refused, and those that are out looked at.
-	// One that may have run and can go nowhere any more, as its key's window has ended or its group has left, is
-	// answered at once too.
-	for _, j := range slices.Clone(c.held) {
-		if c.hopeless(j) || j.class.Repeat == Keyed && len(j.maybeRan) > 0 && !c.couldGo(j) {
-			c.end(j)
+	// Queued jobs that are out of time are rejected, and jobs in flight are checked for stalls. A keyed job that may have
+	// run and that no engine may take again, as its deduplication window has ended or its group of engines has left, gets its
+	// final answer at once too.
+	for _, j := range slices.Clone(c.queue) {
+		if c.tooLate(j) || j.class.Repeat == Keyed && len(j.maybeExecuted) > 0 && !c.hasRetryTarget(j) {
+			c.rejectOrFail(j)
 		}
 	}
-	for _, e := range c.engines {
-		for _, j := range e.out {
-			if !j.ended && c.stuck(j) && c.couldGo(j) && c.mayRepeat(j) {
+	for _, e := range c.candidates {
+		for _, j := range e.inFlight {
+			if !j.finished && c.stalled(j) && c.hasRetryTarget(j) && c.mayRetry(j) {
 				c.recall(j)
 			}
 		}
 	}
-	c.release()
-	if c.ticking = len(c.jobs) > 0; c.ticking {
-		c.host.WakeAfter(sweepTimer, sweepEvery)
+	c.dispatchQueued()
+	if c.sweepScheduled = len(c.jobs) > 0; c.sweepScheduled {
+		c.host.WakeAfter(sweepTimer, sweepInterval)
 	}
 }
 
-// hopeless is the design's refusal; where a late answer earns nothing, the target stands for the deadline.
-func (c *Controller) hopeless(j *job) bool {
-	half := max(c.expect(j)/2, 2*sweepEvery)
-	return j.d-c.now < half || j.class.LateValue == 0 && c.target(j)-c.now < min(half, j.class.LatencyTarget/2)
+// tooLate reports whether the job is to be rejected, as less than half of its estimated latency E is left before its
+// deadline. Where a late answer earns nothing, the time of its latency target counts as a deadline too.
+func (c *Controller) tooLate(j *job) bool {
+	minRemaining := max(c.expectedLatency(j)/2, 2*sweepInterval)
+	return j.deadline-c.now < minRemaining || j.class.LateValue == 0 && c.targetTime(j)-c.now < min(minRemaining, j.class.LatencyTarget/2)
 }
 
-// stuck tells that an attempt is so far past what was expected that a new one should answer sooner.
-func (c *Controller) stuck(j *job) bool {
-	d, e := j.out, j.out.expected
-	if e = min(e, time.Duration(1.5*j.cost/j.class.Threads)); j.cost == 0 {
-		e = max(d.expected, j.class.LatencyTarget) // a mean is no estimate; told costs do not swell in congestion
+// stalled reports whether the attempt in flight has exceeded its estimate so far that a new attempt should answer sooner.
+func (c *Controller) stalled(j *job) bool {
+	current, expected := j.inFlight, j.inFlight.expectedLatency
+	if expected = min(expected, time.Duration(1.5*j.declaredCostNs/j.class.Threads)); j.declaredCostNs == 0 {
+		expected = max(current.expectedLatency, j.class.LatencyTarget) // a mean is no estimate of one job, while declared costs do not grow in congestion
 	}
 	switch {
-	case j.d-c.now < e:
+	case j.deadline-c.now < expected:
 		return false
-	case d.share > 0.02:
-		return float64(d.noted-d.sent)*(1-d.share)/d.share-float64(c.now-d.noted) > 4*float64(e)
+	case current.progress > 0.02:
+		return float64(current.progressAt-current.sentAt)*(1-current.progress)/current.progress-float64(c.now-current.progressAt) > 4*float64(expected)
 	}
-	// Of a short latency target some must be left.
-	return c.now-d.sent > 3*e+min(300*time.Millisecond, c.shortest*3/5)
+	// Some of a short latency target must be left for the new attempt.
+	return c.now-current.sentAt > 3*expected+min(300*time.Millisecond, c.minLatencyTarget*3/5)
 }
 
-func (c *Controller) Noted(now time.Duration, id JobID, n int, eid EngineID, topic Topic, level float64) {
-	if j := c.jobs[id]; j != nil && j.out != nil && n == j.sent-1 && topic == Progress {
-		j.out.share, j.out.noted = level, now
+// Noted records the progress that an engine reports of an attempt. level is the fraction that is done.
+func (c *Controller) Noted(now time.Duration, id JobID, attemptIndex int, engineID EngineID, topic Topic, level float64) {
+	if j := c.jobs[id]; j != nil && j.inFlight != nil && attemptIndex == j.attemptCount-1 && topic == Progress {
+		j.inFlight.progress, j.inFlight.progressAt = level, now
 	}
 }
 
-func (c *Controller) AnswerBegun(now time.Duration, id JobID, n int, eid EngineID, took time.Duration) {
-	if j := c.jobs[id]; j != nil && j.out != nil && n == j.sent-1 {
-		j.out.begun = true
+// AnswerBegun records that the answer of an attempt has started to arrive, after which it is not recalled.
+func (c *Controller) AnswerBegun(now time.Duration, id JobID, attemptIndex int, engineID EngineID, latency time.Duration) {
+	if j := c.jobs[id]; j != nil && j.inFlight != nil && attemptIndex == j.attemptCount-1 {
+		j.inFlight.answerStarted = true
 	}
 }
 
-// No probe is sent, as answers tell as much and cost nothing, and peers are told nothing.
+// ProbeAnswered does nothing: the Controller sends no probes, as answers tell as much and cost nothing.
 func (c *Controller) ProbeAnswered(time.Duration, EngineID, Outcome, time.Duration, Load) {}
 
+// PeerTold does nothing: controllers send each other no messages.
 func (c *Controller) PeerTold(now time.Duration, from PeerID, message string) {}
