--- a/logic/engines.go
+++ b/logic/engines.go
@@ -35,7 +35,7 @@
 	subsetRank        int           // position in this controller's order of engines
 	suspected         bool
 	nextTrialAt       time.Duration // from when a suspected engine may get a trial job
-	trialBackoff      time.Duration // backoff before the next trial
+	trialBackoff      time.Duration // delay before the next trial, without jitter
 	isCandidate       bool          // it is in Controller.candidates
 }
 
@@ -55,14 +55,14 @@
 // room has a choice. Smaller lists are considered completely.
 const minCandidates = 128
 
-// minCandidatesPerClass is the minimum number of candidates of the locations and kinds that a class is restricted to, where that many
-// exist.
+// minCandidatesPerClass is the minimum number of candidates of the locations and kinds that a class is restricted to,
+// where that many exist.
 const minCandidatesPerClass = 16
 
 // The work of ordering is measured in pairs of an engine and a controller. A list of up to minCandidates engines and
-// maxImmediatePairs pairs is ordered at each change. A larger one is ordered again after a delay of reorderDelayPerPair for each pair. That is
-// some hundred times the measured cost, so that ordering takes a hundredth of a core. An engine costs as much as
-// minPairsPerEngine, however few controllers there are.
+// maxImmediatePairs pairs is ordered at each change. A larger one is ordered again after a delay of reorderDelayPerPair
+// for each pair. That is some hundred times the measured cost, so that ordering takes a hundredth of a core. An engine
+// costs as much as minPairsPerEngine, however few controllers there are.
 const (
 	maxImmediatePairs   = 100_000
 	reorderDelayPerPair = time.Microsecond
@@ -90,7 +90,7 @@
 // compareID compares an engine with an ID, for binary searches.
 func compareID(e *engine, id EngineID) int { return cmp.Compare(e.id, id) }
 
-// EngineListed handles the entry of an engine in the event being read. since is when its process started.
+// EngineListed handles the entry of an engine in the event being read. startedAt is when its process started.
 func (c *Controller) EngineListed(now time.Duration, id EngineID, location Location, kind KindName, cell Cell,
 	health Health, weight float64, startedAt time.Duration) {
 	e := c.list.byID[id]
@@ -98,7 +98,8 @@
 		e = c.addEngine(id, location, kind, startedAt)
 	}
 	if startedAt > e.startedAt || (e.health != Up && health == Up) {
-		// The process has restarted: what was learned of the earlier one is void, and a start counts as a passed trial.
+		// The process was restarted, or takes jobs again: what was learned before is void, and a start counts as a passed
+		// trial.
 		e.startedAt = max(startedAt, e.startedAt)
 		e.coldLimit.Started(e.startedAt)
 		c.host.Suspects(e.id, false)
@@ -196,7 +197,8 @@
 	for _, e := range c.list.all {
 		e.subsetRank = math.MaxInt
 		if e.health == Up {
-			up, initialLimit = append(up, Candidate{e.id, e.location, e.cores}), initialLimit+e.cores*initialThreadsPerCore/(1+c.controllerCount)
+			up, initialLimit = append(up, Candidate{e.id, e.location, e.cores}),
+				initialLimit+e.cores*initialThreadsPerCore/(1+c.controllerCount)
 		}
 	}
 	size = int(math.Ceil(initialLimit / c.maxJobThreads))
@@ -254,8 +256,8 @@
 	return c.upLimit / c.upCores
 }
 
-// missingForClass returns the engines from the rest of the order that a class needs to have minCandidatesPerClass candidates. It
-// returns none for a class without restrictions.
+// missingForClass returns the engines from the rest of the order that a class needs to have minCandidatesPerClass
+// candidates. It returns none for a class without restrictions.
 func missingForClass(class *Class, chosen, rest []*engine) (added []*engine) {
 	if len(class.Locations) == 0 && len(class.Kinds) == 0 {
 		return nil
@@ -320,9 +322,9 @@
 	return len(eligible) > 0
 }
 
-// initialThreadsPerCore is divided by the number of controllers plus one. This gives a single controller 1.5 threads per core,
-// about what keeps cores busy when half of the work waits for disks. Many controllers together get twice that, as their
-// peaks do not coincide.
+// initialThreadsPerCore is divided by the number of controllers plus one. This gives a single controller 1.5 threads per
+// core, about what keeps cores busy when half of the work waits for disks. Many controllers together get twice that, as
+// their peaks do not coincide.
 const initialThreadsPerCore = 3.0
 
 // resetLimit sets the concurrency limit of an engine whose process has just started or become known.
--- a/logic/engines_test.go
+++ b/logic/engines_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// startLargeList starts a controller with a list of so many engines, and counts in orders how often the list is ordered. The total
-// capacity per controller is the same for any number of engines. Every hundredth engine is of the kind "rare", which the
-// class "load" is restricted to.
+// startLargeList starts a controller with a list of so many engines, and counts in orders how often the list is ordered.
+// The total capacity per controller is the same for any number of engines. Every hundredth engine is of the kind "rare",
+// which the class "load" is restricted to.
 func startLargeList(engines, controllers int, orders *int) *fakeHost {
 	h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 	h.start(func(s *Settings) {
@@ -34,8 +34,9 @@
 
 func engineName(n int) EngineID { return EngineID(fmt.Sprintf("e%04d", n)) }
 
-// TestLargeList checks that the work for a change or a job does not grow with the list: while thousands of engines change,
-// the list is ordered only a few times, and decisions consider only part of it. No job goes to an engine that drains.
+// TestLargeList checks that the work for a change or a job does not grow with the list: while thousands of engines
+// change, the list is ordered only a few times, and decisions consider only part of it. No job goes to an engine that
+// drains.
 func TestLargeList(t *testing.T) {
 	for _, controllers := range []int{1, 6, 300, 900} {
 		t.Run(fmt.Sprint(controllers, " controllers"), func(t *testing.T) { changeLargeList(t, controllers) })
@@ -98,7 +99,8 @@
 		t.Errorf("limits add up to %.2f threads, want %.2f", h.c.upLimit, want)
 	}
 	for _, e := range h.c.candidates {
-		if fraction := h.c.subsetShare(e); fraction > 0 && math.Abs(fraction-math.Min(h.c.subsetSize*e.cores/total, 1/h.c.list.coreRatio)) > 1e-6 {
+		if fraction := h.c.subsetShare(e); fraction > 0 &&
+			math.Abs(fraction-math.Min(h.c.subsetSize*e.cores/total, 1/h.c.list.coreRatio)) > 1e-6 {
 			t.Errorf("%s: in the subsets of a fraction %v of the controllers", e.id, fraction)
 		}
 	}
@@ -107,8 +109,8 @@
 	}
 }
 
-// TestJobBeyondCandidates checks that a job that no candidate may take goes to another engine of the list, which becomes a
-// candidate.
+// TestJobBeyondCandidates checks that a job that no candidate may take goes to another engine of the list, which becomes
+// a candidate.
 func TestJobBeyondCandidates(t *testing.T) {
 	orders := 0
 	h := startLargeList(3200, 300, &orders)
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -31,31 +31,31 @@
 	fmt.Fprintf(&h.trace, "%6d ms  %s\n", h.now.Milliseconds()%1000000, fmt.Sprintf(format, args...))
 }
 
-func (h *fakeHost) Attempt(j JobID, e EngineID, limit, within time.Duration) {
-	begun := ""
-	if within < limit {
-		begun = fmt.Sprintf(", begun within %v", within.Round(ms))
+func (h *fakeHost) Attempt(j JobID, e EngineID, timeout, startWithin time.Duration) {
+	suffix := ""
+	if startWithin < timeout {
+		suffix = fmt.Sprintf(", begun within %v", startWithin.Round(ms))
 	}
-	h.record("attempt %s to %s, at most %v%s", j, e, limit.Round(ms), begun)
+	h.record("attempt %s to %s, at most %v%s", j, e, timeout.Round(ms), suffix)
 }
-func (h *fakeHost) SetTerms(j JobID, memory float64, p int) {
-	h.record("terms of %s: %.0f MB, %d", j, memory, p)
+func (h *fakeHost) SetTerms(j JobID, memory float64, priority int) {
+	h.record("terms of %s: %.0f MB, %d", j, memory, priority)
 }
 func (h *fakeHost) Recall(j JobID, n int) { h.record("recall %s attempt %d", j, n) }
-func (h *fakeHost) Reject(j JobID, wait time.Duration) {
-	h.record("reject %s, back in %v", j, wait.Round(ms))
+func (h *fakeHost) Reject(j JobID, retryAfter time.Duration) {
+	h.record("reject %s, back in %v", j, retryAfter.Round(ms))
 }
-func (h *fakeHost) Fail(j JobID)                          { h.record("fail %s", j) }
-func (h *fakeHost) WakeAfter(t TimerID, in time.Duration) { h.timers[t] = h.now + in }
-func (h *fakeHost) Follow(on bool)                        { h.record("follow the list: %v", on) }
-func (h *fakeHost) FetchList()                            { h.record("fetch the list") }
-func (h *fakeHost) Probe(e EngineID)                      { h.record("probe %s", e) }
-func (h *fakeHost) CloseIdle(e EngineID)                  { h.record("close idle %s", e) }
-func (h *fakeHost) TellPeer(p PeerID, m string)           { h.record("tell %d %s", p, m) }
-func (h *fakeHost) Suspects(EngineID, bool)               {}
-func (h *fakeHost) Log(line string)                       { h.record("log: %s", line) }
-
-// start creates a controller with default settings, to which change, if not nil, is applied.
+func (h *fakeHost) Fail(j JobID)                             { h.record("fail %s", j) }
+func (h *fakeHost) WakeAfter(t TimerID, delay time.Duration) { h.timers[t] = h.now + delay }
+func (h *fakeHost) Follow(follow bool)                       { h.record("follow the list: %v", follow) }
+func (h *fakeHost) FetchList()                               { h.record("fetch the list") }
+func (h *fakeHost) Probe(e EngineID)                         { h.record("probe %s", e) }
+func (h *fakeHost) CloseIdle(e EngineID)                     { h.record("close idle %s", e) }
+func (h *fakeHost) TellPeer(p PeerID, m string)              { h.record("tell %d %s", p, m) }
+func (h *fakeHost) Suspects(EngineID, bool)                  {}
+func (h *fakeHost) Log(line string)                          { h.record("log: %s", line) }
+
+// start creates a controller with default settings, to which modify, if not nil, is applied.
 func (h *fakeHost) start(modify func(*Settings)) {
 	s := Settings{Controllers: 1, Location: "here", MayRecall: true, MaxAttempts: 4, Tick: 5 * ms,
 		MaxComeBack: time.Second, StartCapacity: 0.25, Cold: 10 * time.Second, FallMultiple: 3,
@@ -77,9 +77,9 @@
 		at := s.Number * len(up) / s.Controllers
 		return slices.Concat(up[at:], up[:at])
 	}
-	s.Limits = limitsAdapter{limit.New(limit.Settings{Controllers: s.Controllers, Number: s.Number, BudgetWindow: s.BudgetWindow,
-		BudgetFree: s.BudgetFree, BudgetShare: s.BudgetShare, StartCapacity: s.StartCapacity, Cold: s.Cold,
-		FallMultiple: s.FallMultiple, Fall: s.Fall})}
+	s.Limits = limitsAdapter{limit.New(limit.Settings{Controllers: s.Controllers, Number: s.Number,
+		BudgetWindow: s.BudgetWindow, BudgetFree: s.BudgetFree, BudgetShare: s.BudgetShare,
+		StartCapacity: s.StartCapacity, Cold: s.Cold, FallMultiple: s.FallMultiple, Fall: s.Fall})}
 	s.Limits.(limitsAdapter).Limits.Within(0, "") // the limits' time starts here, as if the process had run for some time
 	s.Slowness = slownessAdapter{thin.New()}
 	h.c = New(h, s, 1)
@@ -106,9 +106,9 @@
 }
 
 // listEngine reports one engine in an event of its own. The length of its name serves as its cell.
-func (h *fakeHost) listEngine(e EngineID, health Health, since time.Duration) {
+func (h *fakeHost) listEngine(e EngineID, health Health, startedAt time.Duration) {
 	h.c.ListBegins(h.now, ListChanges)
-	h.c.EngineListed(h.now, e, "here", "k", Cell(len(e)), health, 1, since)
+	h.c.EngineListed(h.now, e, "here", "k", Cell(len(e)), health, 1, startedAt)
 	h.c.ListEnds(h.now)
 }
 
@@ -130,7 +130,8 @@
 	h.c.list.byID[e].limit = 4
 }
 
-// learnLatencies has n lookups and n reports answered, from which the controller learns their latency. They are not traced.
+// learnLatencies has count lookups and as many reports answered, from which the controller learns their latency. They are
+// not traced.
 func (h *fakeHost) learnLatencies(e EngineID, count int) {
 	trace := h.trace.String()
 	for i := range count {
--- a/logic/host.go
+++ b/logic/host.go
@@ -1,14 +1,24 @@
 // Package logic decides when jobs are dispatched and to which engine, whether they are retried, and which are rejected.
 // It does no I/O and reads no clock. logic.go has the decisions, engines.go the list of engines; this file has the
 // interfaces to the code that reports events and carries out decisions.
+//
+// Comments refer to seven rules that hold for every job, by number:
+//
+//  1. A job whose deadline has passed or whose client has left is not dispatched.
+//  2. A job that may have run is repeated only as its class allows (see Repeat).
+//  3. Draining engines get no jobs.
+//  4. Cold engines, which have started recently, get a limited amount of work (see EngineLimit).
+//  5. Jobs of one key of an ordered class run one after the other, in order of arrival.
+//  6. Jobs go only to the locations and kinds of engines that their class allows.
+//  7. Retries stay within the retry budget (see Limits).
 package logic
 
 import "time"
 
 // Times and durations are whole nanoseconds. The clock may start at any value and only moves forward.
 
-// Identifiers and names. Key is the order key of jobs of ordered classes. Tables identifies the group of tables that a job
-// uses, and Cell a group of engines within which repeats of keyed jobs may be dropped.
+// Identifiers and names. Key is the order key of jobs of ordered classes. Tables identifies the group of tables that a
+// job uses, and Cell a group of engines within which repeats of keyed jobs may be dropped.
 type (
 	JobID      string
 	EngineID   string
@@ -25,20 +35,21 @@
 
 // Host carries out decisions. A call takes effect at the time of the event being handled.
 type Host interface {
-	// Attempt sends a job to an engine, which has until timeout has passed for the answer. If the first byte was not sent
-	// before within has passed, the host must not send the job, and must report the attempt as NotSent.
+	// Attempt sends a job to an engine, which must answer before timeout has passed. If the first byte was not sent
+	// before startWithin has passed, the host must not send the job, and must report the attempt as NotSent.
 	Attempt(job JobID, engine EngineID, timeout, startWithin time.Duration)
-	// SetTerms sets the memory grant and the priority (1, or 2 for a job with little slack) of the job's following attempts.
+	// SetTerms sets the memory grant and the priority (1, or 2 for a job with little slack) of the job's following
+	// attempts.
 	SetTerms(job JobID, memoryMB float64, priority int)
 	// Recall cancels an attempt, counted from 0, which ends with the outcome Recalled.
 	Recall(job JobID, attempt int)
-	// Reject answers the client that the job was rejected and may be retried after comeBack.
+	// Reject answers the client that the job was rejected and may be retried after retryAfter.
 	Reject(job JobID, retryAfter time.Duration)
 	// Fail answers the client that the job failed. It may have run.
 	Fail(job JobID)
 	// WakeAfter calls Module.TimerDue after a delay.
 	WakeAfter(timer TimerID, delay time.Duration)
-	// Follow requests the list of engines and its changes from discovery, or ends that.
+	// Follow requests the list of engines and all changes to it from discovery, or ends that.
 	Follow(follow bool)
 	// FetchList requests a complete list of engines.
 	FetchList()
@@ -59,15 +70,15 @@
 type Module interface {
 	// ListBegins, EngineListed for each engine, and ListEnds report one event of the list of engines.
 	ListBegins(now time.Duration, kind ListKind)
-	// EngineListed reports the state of one engine. since is when its process started, 0 for long ago.
+	// EngineListed reports the state of one engine. startedAt is when its process started, 0 for long ago.
 	EngineListed(now time.Duration, id EngineID, location Location, kind KindName, cell Cell, health Health,
-		weight float64, since time.Duration)
+		weight float64, startedAt time.Duration)
 	ListEnds(now time.Duration)
-	// JobTaken reports a job that has arrived. expires is the latest time of its answer; cost is the thread time and
-	// memory the megabytes that the client declares, or 0.
-	JobTaken(now time.Duration, id JobID, name ClassName, customer CustomerID, key Key, expires, cost time.Duration,
-		memory float64, tables Tables, repeat bool, place Placement)
-	// Placed reports that a job's placement has changed; none says that the job has no engine left.
+	// JobTaken reports a job that has arrived. expires is the latest time of its answer. declaredCost is the thread time
+	// and memoryMB the memory that the client declares, or 0. repeat says that the client has sent the job before.
+	JobTaken(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
+		expires, declaredCost time.Duration, memoryMB float64, tables Tables, repeat bool, placement Placement)
+	// Placed reports that a job's placement has changed; noneLeft says that the job has no engine left.
 	Placed(now time.Duration, id JobID, placement Placement, noneLeft bool)
 	// ClientGone reports that a job's client has left.
 	ClientGone(now time.Duration, id JobID)
@@ -75,12 +86,13 @@
 	// returns false if the attempt must not be sent any more; the host then reports it as NotSent. It may be called from
 	// within Host.Attempt.
 	Began(now time.Duration, id JobID) bool
-	// Leaving reports that the process is shutting down. All jobs are answered before last.
+	// Leaving reports that the process is shutting down. All jobs are answered before exitBy.
 	Leaving(now, exitBy time.Duration)
-	// AttemptOver reports the end of attempt n of a job, counted from 0, which took the given time. over says that the
-	// job has its final answer; work and memory (in megabytes) are what the engine says that the job needed, or 0.
-	AttemptOver(now time.Duration, id JobID, attempt int, engine EngineID, outcome Outcome, latency time.Duration, jobOver bool,
-		work time.Duration, memory float64, load Load)
+	// AttemptOver reports the end of an attempt, counted from 0 for each job. latency is how long it took. jobOver says
+	// that the job has its final answer; work is the thread time and memoryMB the memory that the engine says that the
+	// job needed, or 0.
+	AttemptOver(now time.Duration, id JobID, attempt int, engine EngineID, outcome Outcome, latency time.Duration,
+		jobOver bool, work time.Duration, memoryMB float64, load Load)
 	// TimerDue reports that the delay of Host.WakeAfter has passed.
 	TimerDue(now time.Duration, timer TimerID)
 	// ProbeAnswered reports the result of Host.Probe.
@@ -96,16 +108,16 @@
 	Allows(engine EngineID) bool
 	// Room reports whether a job of this placement may be dispatched now.
 	Room() bool
-	// Further reports whether a job may be retried. first is the time since the first of its attempts that may have run,
-	// or 0, and since is the time since its last attempt ended.
+	// Further reports whether a job may be retried. sinceFirst is the time since the first of its attempts that may have
+	// run was sent, or 0, and sinceLast is the time since its last attempt ended.
 	Further(sinceFirst, sinceLast time.Duration) bool
 }
 
 // Limits are the quotas that a controller keeps without talking to others, among them those of rule 4 (cold engines) and
 // rule 7 (retry budget). Package decide/limit implements it.
 type Limits interface {
-	// Earned counts a job, which arrived at the time taken, as part of the base that the retry budget is a share of.
-	Earned(now, taken time.Duration)
+	// Earned counts a job, as part of the base that the retry budget is a share of.
+	Earned(now, arrivedAt time.Duration)
 	// Within takes one job from the customer's share and reports whether the share had room for it.
 	Within(now time.Duration, customer CustomerID) bool
 	// MayRepeat reports whether the retry budget allows another retry.
@@ -138,7 +150,7 @@
 // EngineLimit limits the work of one engine while it is cold, which means that its process has started recently.
 type EngineLimit interface {
 	// Started sets when the engine's process started, 0 for long ago.
-	Started(since time.Duration)
+	Started(startedAt time.Duration)
 	// Cold reports whether the engine is cold.
 	Cold(now time.Duration) bool
 	// Allows reports whether a job of so much thread time may be sent. share is the fraction of all controllers that have
@@ -222,7 +234,7 @@
 // Load is the load that an engine reports with an answer. Fields that were not reported are negative.
 type Load struct {
 	Util          float64
-	Waiting       float64
+	Waiting       float64 // length of the engine's queue
 	MemoryGranted float64 // share of the engine's memory that is granted to jobs; it may exceed 1
 }
 
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -32,16 +32,16 @@
 type job struct {
 	id                 JobID
 	class              *class
-	keyQueue           *keyQueue     // queue of its order key, or nil if its class is unordered or it has no key
-	seq                int           // number in order of arrival
-	attemptCount       int           // attempts dispatched so far
-	dispatchLevel      int           // dispatch level, 0 to 2, computed by updatePriority as are the next two fields
-	backlogThreadNs    float64       // thread nanoseconds that it adds to the backlog, 0 while it can not be dispatched
-	valueDensity       float64       // value per thread nanosecond; the lowest is shed first
-	arrivedAt          time.Duration // arrival
-	deadline           time.Duration // no answer counts after this
-	lastAttemptEndedAt time.Duration // end of its last attempt
-	slack              time.Duration // S = deadline - (arrival + E), computed each time the job is queued
+	keyQueue           *keyQueue // queue of its order key, or nil if its class is unordered or it has no key
+	seq                int       // number in order of arrival
+	attemptCount       int       // attempts dispatched so far
+	dispatchLevel      int       // 0 to 2, lowest first; set by updatePriority as are the next two fields
+	backlogThreadNs    float64   // thread nanoseconds that it adds to the backlog, 0 if its key or placement holds it
+	valueDensity       float64   // value per thread nanosecond; the lowest is shed first
+	arrivedAt          time.Duration
+	deadline           time.Duration
+	lastAttemptEndedAt time.Duration
+	slack              time.Duration // S = deadline - (t + E), where t is when it was last added to the queue
 	declaredCostNs     float64       // thread nanoseconds that the client declared, or 0
 	declaredMemoryMB   float64       // megabytes that the client declared, or 0
 	tables             Tables
@@ -78,7 +78,7 @@
 // keyQueue is the FIFO queue of the jobs of one order key: only the first may be in flight.
 type keyQueue struct {
 	jobs       []*job
-	quietUntil time.Duration // no other job of the key is dispatched before this time, as an earlier one may still be running
+	quietUntil time.Duration // the next job of the key waits until then, as an earlier one may still be running
 }
 
 // Controller decides for one controller process. It shares no state with other instances.
@@ -92,21 +92,21 @@
 	list             engineList
 	candidates       []*engine // the part of the list that decisions consider, sorted by ID
 	jobs             map[JobID]*job
-	queue            []*job        // the queue, sorted by compareJobs
-	rankedAt         time.Duration // when the whole queue was last ranked
+	queue            []*job        // sorted by compareJobs
+	rankedAt         time.Duration // when rankQueue last ran
 	backlogThreadNs  float64       // thread nanoseconds of all queued jobs that could be dispatched
 	keyQueues        map[Key]*keyQueue
 	lastSeq          int           // number of jobs that have arrived
 	sweepScheduled   bool          // the sweep timer is running
 	commonFault      bool          // most engines are suspected, so suspicion is ignored; see updateTotals
 	maxJobThreads    float64       // threads of the widest class
-	minLatencyTarget time.Duration // the smallest latency target of all classes
+	minLatencyTarget time.Duration // of all classes
 	controllerCount  float64       // controllers in the fleet, at least 1
 	// Totals over the candidates, kept by updateTotals. Counts are float64, as they enter sums of threads.
 	upCount    float64 // engines that take jobs
 	upCores    float64 // cores of those
 	coldCount  float64 // how many of those are cold
-	subsetSize float64 // number of engines that the limits are allocated to; see allocateLimits
+	subsetSize float64 // number of engines that the limits are allocated to, set by allocateLimits
 	upLimit    float64 // limits of all engines that take jobs, in threads
 	// The sums over the engines in use: suspected ones are left out unless most are suspected, and a cold one's
 	// limit counts as no more than the threads that it has in flight.
@@ -128,19 +128,20 @@
 // New creates a Controller that acts on host. seed is the seed of its random choices.
 func New(host Host, settings Settings, seed int64) *Controller {
 	c := &Controller{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)),
-		classes: map[ClassName]*class{}, limits: settings.Limits, list: engineList{byID: map[EngineID]*engine{}, coreRatio: 1},
-		jobs: map[JobID]*job{}, keyQueues: map[Key]*keyQueue{}, minLatencyTarget: math.MaxInt64,
-		controllerCount: math.Max(1, float64(settings.Controllers))}
+		classes: map[ClassName]*class{}, limits: settings.Limits,
+		list: engineList{byID: map[EngineID]*engine{}, coreRatio: 1}, jobs: map[JobID]*job{},
+		keyQueues: map[Key]*keyQueue{}, minLatencyTarget: math.MaxInt64, controllerCount: math.Max(1, float64(settings.Controllers))}
 	for _, jobClass := range settings.Classes {
 		c.classes[jobClass.Name] = &class{Class: jobClass}
-		c.maxJobThreads, c.minLatencyTarget = math.Max(c.maxJobThreads, jobClass.Threads), min(c.minLatencyTarget, jobClass.LatencyTarget)
+		c.maxJobThreads, c.minLatencyTarget = math.Max(c.maxJobThreads, jobClass.Threads),
+			min(c.minLatencyTarget, jobClass.LatencyTarget)
 	}
 	return c
 }
 
 // JobTaken queues a job that has just arrived, and dispatches what can be dispatched. The job is rejected at once if
-// it can not meet its deadline. expires is the latest time of the answer, cost the thread time that the client declares,
-// or 0, memory the megabytes that it declares, or 0. place restricts its engines, or is nil.
+// it can not meet its deadline. expires is the latest time of the answer. declaredCost is the thread time that the client
+// declares, and memoryMB the memory, each 0 if it declares none. placement restricts the job's engines, or is nil.
 func (c *Controller) JobTaken(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
 	expires, declaredCost time.Duration, memoryMB float64, tables Tables, repeat bool, placement Placement) {
 	c.now = now
@@ -150,8 +151,8 @@
 		jobClass = &class{Class: Class{Deadline: remaining, LatencyTarget: remaining, Repeat: NonIdempotent, Threads: 1}}
 	}
 	c.lastSeq++
-	j := &job{id: id, class: jobClass, seq: c.lastSeq, arrivedAt: now, declaredCostNs: float64(declaredCost), declaredMemoryMB: memoryMB, tables: tables,
-		deadline: min(now+jobClass.Deadline, expires)}
+	j := &job{id: id, class: jobClass, seq: c.lastSeq, arrivedAt: now, declaredCostNs: float64(declaredCost),
+		declaredMemoryMB: memoryMB, tables: tables, deadline: min(now+jobClass.Deadline, expires)}
 	c.setPlacement(j, placement)
 	c.jobs[id] = j
 	if jobClass.Ordered && key != "" {
@@ -172,8 +173,8 @@
 	c.sweepScheduled = true
 }
 
-// expectedLatency returns the estimated latency E: the declared cost times the learned latency per cost, or the mean latency
-// where no cost is declared, or the latency target before any answer was seen.
+// expectedLatency returns the estimated latency E: the declared cost times the learned latency per cost, or the mean
+// latency where no cost is declared, or the latency target before any answer was seen.
 func (c *Controller) expectedLatency(j *job) time.Duration {
 	if j.class.unitLatency.samples == 0 {
 		return j.class.LatencyTarget
@@ -191,7 +192,8 @@
 	return j.arrivedAt + j.class.LatencyTarget + time.Duration(j.class.TargetStretch*threadNs/j.class.Threads)
 }
 
-// enqueue inserts the job into the queue by its priority. Its slack is computed here and does not change while it is queued.
+// enqueue inserts the job into the queue by its priority. Its slack is computed here and does not change while it is
+// queued.
 func (c *Controller) enqueue(j *job) {
 	j.slack = j.deadline - (c.now + c.expectedLatency(j))
 	c.updatePriority(j)
@@ -207,8 +209,8 @@
 	}
 }
 
-// updatePriority computes the values that the order of the queue, the estimate of the backlog and load shedding use, and adds
-// the job's work to the backlog. A job that waits for an earlier one of its key, or whose placement has no room,
+// updatePriority computes the values that the order of the queue, the estimate of the backlog and load shedding use, and
+// adds the job's work to the backlog. A job that waits for an earlier one of its key, or whose placement has no room,
 // adds no work.
 func (c *Controller) updatePriority(j *job) {
 	threadNs := float64(c.expectedLatency(j)) * j.class.Threads
@@ -271,7 +273,8 @@
 		index := slices.IndexFunc(c.queue, func(j *job) (waits bool) {
 			firstUnordered := j.keyQueue == nil && j.attemptCount == 0
 			alike := func(other *job) bool { return other.class == j.class && other.engineSet == j.engineSet }
-			if firstUnordered && slices.ContainsFunc(blocked, alike) || j.engineSet != nil && slices.Contains(fullSets, j.engineSet) {
+			if firstUnordered && slices.ContainsFunc(blocked, alike) ||
+				j.engineSet != nil && slices.Contains(fullSets, j.engineSet) {
 				return false
 			}
 			if selected, waits = c.selectEngine(j, coldOnly); selected != nil {
@@ -292,18 +295,21 @@
 }
 
 // updateTotals sums up the engines in use and updates the burst credit: the part of their limits that was left unused
-// lately. When most engines are suspected, a common cause is more likely than that many separate faults, and all are used.
+// lately. When most engines are suspected, a common cause is more likely than that many separate faults, and all are
+// used.
 //
 // The credit lets a controller exceed its limit for a moment when jobs arrive in bunches, as the limits of each of many
 // controllers are narrow. There is none in congestion, and it may go slightly negative. It is capped at a thread
 // per core, divided among all controllers: with more than that, saved up by all of them, engines were overloaded to the
 // point of collapse as a burst began.
 //
-// Only rule 4 (cold engines) limits the work of cold engines. Counting their limits here would send jobs to the
-// other engines for which only the cold ones have room.
+// Only rule 4 (cold engines) limits the work of cold engines. Their limits are not counted here, as the other engines
+// would otherwise get jobs that only the cold ones have room for.
 func (c *Controller) updateTotals() {
-	maxCredit := math.Min(c.maxJobThreads, c.upCores*c.list.coreRatio/c.controllerCount) * math.Min(1, 8*math.Max(0, 1.25-c.slowness.value))
-	c.burstCredit = math.Max(-0.3*c.maxJobThreads, math.Min(c.burstCredit+(c.usableLimit-c.busyThreads)*(c.now-c.creditUpdatedAt).Seconds(), maxCredit))
+	maxCredit := math.Min(c.maxJobThreads, c.upCores*c.list.coreRatio/c.controllerCount) *
+		math.Min(1, 8*math.Max(0, 1.25-c.slowness.value))
+	c.burstCredit = math.Max(-0.3*c.maxJobThreads,
+		math.Min(c.burstCredit+(c.usableLimit-c.busyThreads)*(c.now-c.creditUpdatedAt).Seconds(), maxCredit))
 	var suspectedCount, suspectedLimit, suspectedThreads float64
 	c.creditUpdatedAt, c.upCount, c.upCores, c.coldCount, c.upLimit, c.usableLimit, c.busyThreads = c.now, 0, 0, 0, 0, 0, 0
 	for _, e := range c.candidates {
@@ -317,7 +323,8 @@
 		c.upCount, c.upCores, c.upLimit = c.upCount+1, c.upCores+e.cores, c.upLimit+e.limit
 		c.usableLimit, c.busyThreads = c.usableLimit+limit, c.busyThreads+e.busyThreads
 		if e.suspected {
-			suspectedCount, suspectedLimit, suspectedThreads = suspectedCount+1, suspectedLimit+limit, suspectedThreads+e.busyThreads
+			suspectedCount, suspectedLimit, suspectedThreads = suspectedCount+1, suspectedLimit+limit,
+				suspectedThreads+e.busyThreads
 		}
 	}
 	if c.commonFault = 3*suspectedCount > 2*c.upCount; !c.commonFault {
@@ -340,12 +347,13 @@
 		})
 }
 
-// allocateLimits guards against limits that are narrower than a job, which would never admit one. It concentrates the sum of
-// the limits on as few engines as gives each of them room for the widest job. These engines, none of which is
+// allocateLimits guards against limits that are narrower than a job, which would never admit one. It concentrates the sum
+// of the limits on as few engines as gives each of them room for the widest job. These engines, none of which is
 // draining, are the controller's subset.
 func (c *Controller) allocateLimits() {
 	c.subsetSize = math.Max(1, math.Min(math.Ceil(c.upLimit/c.maxJobThreads), c.upCount))
-	controllersPerCore := c.subsetSize / c.upCores // fraction of all controllers that have an engine in their subset, per core
+	// The fraction of all controllers that have an engine in their subset, per core of the engine.
+	controllersPerCore := c.subsetSize / c.upCores
 	if c.subsetSize == c.upCount {
 		controllersPerCore = 1
 	}
@@ -362,9 +370,9 @@
 	return len(e.inFlight) == 0 || e.busyThreads+threads/2 <= e.allocatedLimit
 }
 
-// selectEngine returns the engine with the most room that the rules and its health allow, or nil. Without an engine, waits
-// reports that nothing but room is missing: later jobs then wait behind this one. They do not wait behind a job that a
-// rule holds back, and may still go to cold engines.
+// selectEngine returns the engine with the most room that the rules and its health allow, or nil. Without an engine,
+// waits reports that nothing but room is missing: later jobs then wait behind this one, unless they go to cold engines.
+// No job waits behind one that a rule holds back.
 func (c *Controller) selectEngine(j *job, coldOnly bool) (best *engine, waits bool) {
 	if !c.mayDispatch(j) {
 		return nil, false
@@ -383,8 +391,10 @@
 			waits = waits && (e.health != Up || !j.placementAllows(e))
 			continue
 		}
-		healthy := !e.suspected || c.commonFault || c.now >= e.nextTrialAt && len(e.inFlight) == 0 && j.class.Repeat != NonIdempotent
-		if score := e.allocatedLimit - e.busyThreads + c.preference(j, e); score > bestScore && healthy && e.hasRoomFor(j.class.Threads) {
+		healthy := !e.suspected || c.commonFault ||
+			c.now >= e.nextTrialAt && len(e.inFlight) == 0 && j.class.Repeat != NonIdempotent
+		if score := e.allocatedLimit - e.busyThreads + c.preference(j, e); score > bestScore && healthy &&
+			e.hasRoomFor(j.class.Threads) {
 			best, bestScore = e, score
 		}
 	}
@@ -422,7 +432,8 @@
 	if j.keyQueue != nil && (j.keyQueue.jobs[0] != j || j.attemptCount == 0 && c.now < j.keyQueue.quietUntil) {
 		return false
 	}
-	return (j.placement == nil || j.placement.Room()) && (j.attemptCount == 0 || j.attemptCount < c.settings.MaxAttempts && c.mayRetry(j))
+	return (j.placement == nil || j.placement.Room()) &&
+		(j.attemptCount == 0 || j.attemptCount < c.settings.MaxAttempts && c.mayRetry(j))
 }
 
 // mayRetry checks rule 7 (retry budget) and the restrictions that the job's placement adds to it.
@@ -431,7 +442,8 @@
 	if len(j.maybeExecuted) > 0 {
 		firstSentAt = j.maybeExecuted[0].sentAt
 	}
-	return c.limits.MayRepeat(c.now) && (j.placement == nil || j.placement.Further(c.now-firstSentAt, c.now-j.lastAttemptEndedAt))
+	return c.limits.MayRepeat(c.now) &&
+		(j.placement == nil || j.placement.Further(c.now-firstSentAt, c.now-j.lastAttemptEndedAt))
 }
 
 // setPlacement restricts the engines of a job, and makes some of them candidates if none is.
@@ -466,7 +478,7 @@
 }
 
 // retryCutoff returns the time from which a keyed job that may have run must not be dispatched again: the end of the
-// deduplication window of its earliest attempt, less one tick, as the clock only moves by ticks.
+// deduplication window of the earliest attempt that may have run, less one tick, as the clock only moves by ticks.
 func (c *Controller) retryCutoff(j *job) time.Duration {
 	if j.class.Repeat != Keyed || len(j.maybeExecuted) == 0 {
 		return math.MaxInt64
@@ -515,9 +527,9 @@
 	c.host.Attempt(j.id, e.id, timeout, min(timeout, startWithin))
 }
 
-// setTerms sets the memory grant and the priority of the next attempt. Where engines swap when memory is overcommitted, only
-// the memory that jobs need counts, so a generous grant costs nothing and avoids spills. Elsewhere the grant stays near
-// the need.
+// setTerms sets the memory grant and the priority of the next attempt. Where engines swap when memory is overcommitted,
+// only the memory that jobs need counts, so a generous grant costs nothing and avoids spills. Elsewhere the grant stays
+// near the need.
 func (c *Controller) setTerms(j *job, e *engine) {
 	if j.declaredMemoryMB <= 0 || !c.settings.GrantsCount {
 		return
@@ -534,8 +546,8 @@
 	c.host.SetTerms(j.id, grantMB, priority)
 }
 
-// AttemptOver handles the end of a job's attempt. over says that the job has its final answer, work and memory are the
-// thread time and megabytes that the engine reported, or 0.
+// AttemptOver handles the end of a job's attempt. jobOver says that the job has its final answer. work is the thread time
+// and memoryMB the memory that the engine reported, or 0.
 func (c *Controller) AttemptOver(now time.Duration, id JobID, attemptIndex int, engineID EngineID, outcome Outcome,
 	latency time.Duration, jobOver bool, work time.Duration, memoryMB float64, load Load) {
 	c.now = now
@@ -582,8 +594,8 @@
 	return j == nil || j.inFlight == nil || j.attemptCount < 2 || c.limits.Began(j.inFlight.sentAt, now)
 }
 
-// earnRetryCredit adds a job to the base of the retry budget, once, when an engine has received it and not refused it as faulty
-// while its client was still waiting.
+// earnRetryCredit adds a job to the base of the retry budget, once, when an engine has received it and not refused it as
+// faulty while its client was still waiting.
 func (c *Controller) earnRetryCredit(j *job, outcome Outcome) {
 	if j.earnedRetryCredit || j.finished || outcome == NoConnection || outcome == NotSent || outcome == Errored {
 		return
@@ -639,7 +651,7 @@
 		c.host.Log(fmt.Sprintf("engine %s suspected: %s", e.id, reason))
 		e.trialBackoff = 250 * time.Millisecond
 	} else if c.now < e.nextTrialAt-e.trialBackoff/2 && len(e.inFlight) > 0 {
-		return // the failure of an attempt sent before the backoff, not of the trial
+		return // failures of other attempts in flight at the same time do not extend the backoff
 	} else {
 		e.trialBackoff = min(2*e.trialBackoff, 4*time.Second)
 	}
@@ -659,8 +671,8 @@
 // means of a class span classSamples jobs, which is some seconds for a class of short jobs.
 const maxSlowness, memorySamples, classSamples = 4, 20, 60
 
-// recordAnswer updates the statistics of the job's class from its answer, and adjusts the limits by how slow it was. memory is
-// what the job needed, in megabytes, or 0; full is the share of memory granted that the engine reported.
+// recordAnswer updates the statistics of the job's class from its answer, and adjusts the limits by how slow it was.
+// memoryMB is what the job needed, or 0; memoryGranted is the share of memory granted that the engine reported.
 func (c *Controller) recordAnswer(j *job, ended *attempt, latency, work time.Duration, memoryMB, memoryGranted float64) {
 	jobClass := j.class
 	unitLatency := float64(latency) / j.costPerThread()
@@ -672,39 +684,45 @@
 		c.underestimatedShare.add(underestimated, underestimateSamples)
 	}
 	if jobClass.unitLatency.samples > 5 {
-		unitLatency = math.Min(unitLatency, 4*jobClass.unitLatency.value) // a single bad query plan must not move the mean far
+		// Capped, as a single bad query plan must not move the mean far.
+		unitLatency = math.Min(unitLatency, 4*jobClass.unitLatency.value)
 		jobClass.relativeVariance.add(math.Pow(unitLatency/jobClass.unitLatency.value-1, 2), classSamples)
 	}
 	jobClass.unitLatency.add(unitLatency, classSamples)
-	jobClass.threadNs.add(cmp.Or(float64(work), j.declaredCostNs, jobClass.bestUnitLatency*jobClass.Threads, float64(latency)*jobClass.Threads), classSamples)
+	jobClass.threadNs.add(cmp.Or(float64(work), j.declaredCostNs, jobClass.bestUnitLatency*jobClass.Threads,
+		float64(latency)*jobClass.Threads), classSamples)
 	if memoryMB > 0 && j.declaredMemoryMB > 0 {
 		jobClass.memoryRatio.add(memoryMB/j.declaredMemoryMB, classSamples)
 	}
 	// The best latency decays with a time constant of 60 s, as one lucky answer would shrink every limit for good.
 	if jobClass.bestUnitLatency > 0 && (j.declaredCostNs > 0 || jobClass.unitLatency.samples > 30) {
-		jobClass.bestUnitLatency = math.Min(jobClass.unitLatency.value, jobClass.bestUnitLatency*math.Exp((c.now-jobClass.bestUpdatedAt).Seconds()/60))
+		jobClass.bestUnitLatency = math.Min(jobClass.unitLatency.value,
+			jobClass.bestUnitLatency*math.Exp((c.now-jobClass.bestUpdatedAt).Seconds()/60))
 	} else if jobClass.unitLatency.samples >= 10 || j.declaredCostNs > 0 && jobClass.unitLatency.samples >= 5 {
 		jobClass.bestUnitLatency = jobClass.unitLatency.value
 	}
 	jobClass.bestUpdatedAt = c.now
 	bestUnitLatency := jobClass.bestUnitLatency
-	if j.declaredCostNs > 0 && (bestUnitLatency == 0 || bestUnitLatency > 1) { // until many answers were seen, the declared cost counts as the latency on an idle engine
+	// Until many answers were seen, the declared cost counts as the latency on an idle engine.
+	if j.declaredCostNs > 0 && (bestUnitLatency == 0 || bestUnitLatency > 1) {
 		bestUnitLatency = 1 + math.Max(bestUnitLatency-1, 0)*jobClass.unitLatency.samples/classSamples
 	}
 	if bestUnitLatency > 0 {
 		slowness := math.Min(float64(latency)/(j.costPerThread()*bestUnitLatency), maxSlowness)
 		if j.declaredCostNs > 0 && c.underestimatedShare.value > minUnderestimatedShare {
-			slowness *= min(1, max(1-bestLatencyStdDevs*math.Sqrt(jobClass.relativeVariance.value/(2*classSamples)), bestUnitLatency/jobClass.unitLatency.value))
+			slowness *= min(1, max(1-bestLatencyStdDevs*math.Sqrt(jobClass.relativeVariance.value/(2*classSamples)),
+				bestUnitLatency/jobClass.unitLatency.value))
 			// Slowness over the target counts by the square of how much is learned, as many such answers add up.
-			slowness -= math.Max(slowness-steadySlowness/fleetSlownessFactor, 0) * (1 - math.Pow(jobClass.unitLatency.samples/classSamples, 2))
+			slowness -= math.Max(slowness-steadySlowness/fleetSlownessFactor, 0) *
+				(1 - math.Pow(jobClass.unitLatency.samples/classSamples, 2))
 		}
 		c.adjustLimits(ended.engine, j, slowness, memoryGranted)
 	}
 }
 
-// bestLatencyStdDevs is how many of its own standard deviations the minimum of a running mean lies below it, over a minute. It
-// corrects for declared costs that scatter: their lucky minimum makes engines without congestion look slow. The
-// correction never exceeds the distance of the minimum from the mean.
+// bestLatencyStdDevs is how many of its own standard deviations the minimum of a running mean lies below it, over a
+// minute. It corrects for declared costs that scatter: their lucky minimum makes engines without congestion look slow.
+// The correction never exceeds the distance of the minimum from the mean.
 const bestLatencyStdDevs = 2
 
 // steadySlowness is the slowness at which an engine is busy but not thrashing, where costs are declared; its limit then
@@ -714,9 +732,9 @@
 
 // adjustLimits grows or shrinks the engine's limit by the slowness of an answer, and all limits by the mean slowness. The
 // target is the slowness at which a limit is steady; it is higher where no cost is declared, as the best mean is then a
-// lucky one and lies lower. full is the share of memory granted, which counts as slowness too. The lower bound, an
-// even share of a thread per core, keeps a controller from starving beside controllers whose limits stay wide. The upper
-// bound is an even share of two threads per core, rising to eight while all answers are quick, as some controllers
+// lucky one and lies lower. memoryGranted is the share of memory granted, which counts as slowness too. The lower bound,
+// an even share of a thread per core, keeps a controller from starving beside controllers whose limits stay wide. The
+// upper bound is an even share of two threads per core, rising to eight while all answers are quick, as some controllers
 // get several times the mean number of jobs.
 func (c *Controller) adjustLimits(e *engine, j *job, slowness, memoryGranted float64) {
 	const minPerCore, maxPerCore, quickMaxPerCore = 1.0, 2.0, 8.0
@@ -737,11 +755,13 @@
 	c.slowness.add(slowness, 10)
 	c.updateTotals()
 	e.limit *= 1 + adjustment(e.slowness.Slow(c.now), e.limit, e.busyThreads+j.class.Threads+1 >= e.allocatedLimit)
-	fleetFactor := 1 + adjustment(fleetSlownessFactor*c.slowness.value, c.usableLimit, c.busyThreads+j.class.Threads/2 >= c.usableLimit)
+	fleetFactor := 1 + adjustment(fleetSlownessFactor*c.slowness.value, c.usableLimit,
+		c.busyThreads+j.class.Threads/2 >= c.usableLimit)
 	currentMaxPerCore := maxPerCore + (quickMaxPerCore-maxPerCore)*math.Max(0, math.Min(1, (1.3-c.slowness.value)/0.3))
 	for _, e := range c.candidates {
 		cores := e.cores * c.list.coreRatio
-		e.limit = math.Min(math.Max(e.limit*fleetFactor, minPerCore*cores/c.controllerCount), currentMaxPerCore*cores*2/(1+c.controllerCount))
+		e.limit = math.Min(math.Max(e.limit*fleetFactor, minPerCore*cores/c.controllerCount),
+			currentMaxPerCore*cores*2/(1+c.controllerCount))
 	}
 }
 
@@ -776,11 +796,13 @@
 	// The queue of a key is kept during the key's quiet period. Others are removed, as memory would otherwise grow with
 	// keys that are never used again.
 	if len(c.keyQueues) > 2*len(c.jobs)+maxIdleKeyQueues {
-		maps.DeleteFunc(c.keyQueues, func(_ Key, queue *keyQueue) bool { return len(queue.jobs) == 0 && c.now >= queue.quietUntil })
+		maps.DeleteFunc(c.keyQueues, func(_ Key, queue *keyQueue) bool {
+			return len(queue.jobs) == 0 && c.now >= queue.quietUntil
+		})
 	}
 }
 
-// Leaving handles the shutdown of the process. It caps all deadlines at last, so that no job is dispatched that can
+// Leaving handles the shutdown of the process. It caps all deadlines at exitBy, so that no job is dispatched that can
 // not be answered by then.
 func (c *Controller) Leaving(now, exitBy time.Duration) {
 	c.now = now
@@ -789,8 +811,8 @@
 	}
 }
 
-// Placed replaces a job's placement. A queued job gets its final answer at once if none says that no engine is left for
-// it, or if it may have run and no engine may take it again.
+// Placed replaces a job's placement. A queued job gets its final answer at once if noneLeft says that no engine is left
+// for it, or if it may have run and no engine may take it again.
 func (c *Controller) Placed(now time.Duration, id JobID, placement Placement, noneLeft bool) {
 	if j := c.jobs[id]; j != nil {
 		c.now = now
@@ -825,8 +847,8 @@
 	}
 }
 
-// backlogSeconds returns how many seconds the queued jobs would keep all limits busy. For a job of an engine set, these are the
-// jobs and the limits of that set.
+// backlogSeconds returns how many seconds the queued jobs would keep all limits busy. For a job of an engine set, these
+// are the jobs and the limits of that set.
 func (c *Controller) backlogSeconds(sample *job) float64 {
 	threadNs, limit := c.backlogThreadNs, c.usableLimit
 	if sample.engineSet != nil {
@@ -845,9 +867,9 @@
 	return threadNs / 1e9 / math.Max(limit, 1)
 }
 
-// shedLoad rejects queued jobs of the same engine set as the given job while more work is queued than can be dispatched in
-// useful time: half the shortest latency target (with the whole of it, more jobs were late). Jobs of the least value for
-// their thread time go first, and the oldest among equals.
+// shedLoad rejects queued jobs of the same engine set as the given job while more work is queued than can be dispatched
+// in useful time: half the shortest latency target (with the whole of it, more jobs were late). Jobs of the least value
+// for their thread time go first, and the oldest among equals.
 func (c *Controller) shedLoad(sample *job) {
 	for len(c.queue) > 1 && c.backlogSeconds(sample) > c.minLatencyTarget.Seconds()/2 {
 		var worst *job
@@ -855,7 +877,8 @@
 		for _, j := range c.queue {
 			if j.engineSet != sample.engineSet {
 				continue
-			} else if sameSet++; worst == nil || cmp.Or(cmp.Compare(j.valueDensity, worst.valueDensity), j.seq-worst.seq) < 0 {
+			} else if sameSet++; worst == nil ||
+				cmp.Or(cmp.Compare(j.valueDensity, worst.valueDensity), j.seq-worst.seq) < 0 {
 				worst = j
 			}
 		}
@@ -873,8 +896,8 @@
 		return
 	}
 	// Queued jobs that are out of time are rejected, and jobs in flight are checked for stalls. A keyed job that may have
-	// run and that no engine may take again, as its deduplication window has ended or its group of engines has left, gets its
-	// final answer at once too.
+	// run and that no engine may take again, as its deduplication window has ended or its group of engines has left, gets
+	// its final answer at once too.
 	for _, j := range slices.Clone(c.queue) {
 		if c.tooLate(j) || j.class.Repeat == Keyed && len(j.maybeExecuted) > 0 && !c.hasRetryTarget(j) {
 			c.rejectOrFail(j)
@@ -893,24 +916,28 @@
 	}
 }
 
-// tooLate reports whether the job is to be rejected, as less than half of its estimated latency E is left before its
-// deadline. Where a late answer earns nothing, the time of its latency target counts as a deadline too.
+// tooLate reports whether the job is to be rejected, as less than half of its estimated latency E, or two sweep
+// intervals, is left before its deadline. Where a late answer earns nothing, the time of its latency target counts as a
+// deadline too.
 func (c *Controller) tooLate(j *job) bool {
 	minRemaining := max(c.expectedLatency(j)/2, 2*sweepInterval)
-	return j.deadline-c.now < minRemaining || j.class.LateValue == 0 && c.targetTime(j)-c.now < min(minRemaining, j.class.LatencyTarget/2)
+	return j.deadline-c.now < minRemaining ||
+		j.class.LateValue == 0 && c.targetTime(j)-c.now < min(minRemaining, j.class.LatencyTarget/2)
 }
 
 // stalled reports whether the attempt in flight has exceeded its estimate so far that a new attempt should answer sooner.
 func (c *Controller) stalled(j *job) bool {
 	current, expected := j.inFlight, j.inFlight.expectedLatency
 	if expected = min(expected, time.Duration(1.5*j.declaredCostNs/j.class.Threads)); j.declaredCostNs == 0 {
-		expected = max(current.expectedLatency, j.class.LatencyTarget) // a mean is no estimate of one job, while declared costs do not grow in congestion
+		// A mean is no estimate of a single job. A declared cost is, and it does not grow in congestion.
+		expected = max(current.expectedLatency, j.class.LatencyTarget)
 	}
 	switch {
 	case j.deadline-c.now < expected:
 		return false
 	case current.progress > 0.02:
-		return float64(current.progressAt-current.sentAt)*(1-current.progress)/current.progress-float64(c.now-current.progressAt) > 4*float64(expected)
+		return float64(current.progressAt-current.sentAt)*(1-current.progress)/current.progress-
+			float64(c.now-current.progressAt) > 4*float64(expected)
 	}
 	// Some of a short latency target must be left for the new attempt.
 	return c.now-current.sentAt > 3*expected+min(300*time.Millisecond, c.minLatencyTarget*3/5)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -229,8 +229,8 @@
 			h.advance(8 * time.Second)
 		}
 	})
-	// Half of the engines are cold: a wide job that would fit only with their limits counted waits, and a narrow one passes
-	// it and goes to a cold engine.
+	// Half of the engines are cold: a wide job that would fit only with their limits counted waits, and a narrow one
+	// passes it and goes to a cold engine.
 	runGolden(t, "cold_limits_are_no_room_elsewhere", func(h *fakeHost) {
 		h.start(func(s *Settings) { s.Controllers, s.Number = 10, 3 })
 		h.addEngines("a", "b", "c", "d")
@@ -286,7 +286,7 @@
 // differ by at most one.
 func TestSubset(t *testing.T) {
 	const controllers = 40
-	subsetsOf := map[EngineID]int{}
+	subsetCounts := map[EngineID]int{}
 	for number := range controllers {
 		h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 		h.start(func(s *Settings) { s.Controllers, s.Number = controllers, number })
@@ -302,7 +302,7 @@
 		ownCount := 0
 		for _, e := range h.c.candidates {
 			if e.allocatedLimit > 0 {
-				subsetsOf[e.id]++
+				subsetCounts[e.id]++
 				ownCount++
 			}
 			if e.allocatedLimit > 0 && e.health != Up {
@@ -314,16 +314,16 @@
 		}
 	}
 	minSubsets, maxSubsets := controllers, 0
-	for _, n := range subsetsOf {
+	for _, n := range subsetCounts {
 		minSubsets, maxSubsets = min(minSubsets, n), max(maxSubsets, n)
 	}
-	if len(subsetsOf) != 8 || maxSubsets > minSubsets+1 {
-		t.Error(subsetsOf)
+	if len(subsetCounts) != 8 || maxSubsets > minSubsets+1 {
+		t.Error(subsetCounts)
 	}
 }
 
-// TestLimitOfTheBusy checks that the limits of a controller with more jobs than its even share admits grow beyond two threads
-// per core while answers are quick, and are back there after the first slow answers.
+// TestLimitOfTheBusy checks that the limits of a controller with more jobs than its even share admits grow beyond two
+// threads per core while answers are quick, and are back there after the first slow answers.
 func TestLimitOfTheBusy(t *testing.T) {
 	h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 	h.start(func(s *Settings) { s.Controllers = 10 })
@@ -360,9 +360,9 @@
 	}
 }
 
-// TestLeaningEstimates guards against taking biased declared costs for congestion. One class takes three times its declared
-// cost and another less than declared: a controller that has just started keeps its initial limits. Where no class takes
-// less than declared, the limits shrink.
+// TestLeaningEstimates guards against taking biased declared costs for congestion. One class takes three times its
+// declared cost even on an idle engine, and another less than declared: a controller that has just started keeps its
+// initial limits. Where no class takes less than declared, the limits shrink.
 func TestLeaningEstimates(t *testing.T) {
 	for _, biased := range []bool{true, false} {
 		h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
@@ -397,10 +397,10 @@
 	}
 }
 
-// TestScatteredEstimates guards against taking scattered declared costs for congestion. The engines are equally fast all the
-// time, but the least mean of the ratios of latency to cost is a lucky one, so that later answers seem slow. The test takes
-// the mean slowness over the worst hundred answers, averaged over some seeds. When the engines take twice as long, the
-// slowness must rise.
+// TestScatteredEstimates guards against taking scattered declared costs for congestion. The engines are equally fast all
+// the time, but the least mean of the ratios of latency to cost is a lucky one, so that later answers seem slow. The test
+// takes the mean slowness over the worst hundred answers, averaged over some seeds. When the engines take twice as long,
+// the slowness must rise.
 func TestScatteredEstimates(t *testing.T) {
 	const seeds = 10
 	calm, busy := 0.0, 0.0
@@ -437,8 +437,8 @@
 	}
 }
 
-// TestKeysForgotten checks that the queues of keys that are never used again are removed while other jobs are open. Those of
-// keys with an open job or in their quiet period are kept.
+// TestKeysForgotten checks that the queues of keys that are never used again are removed while other jobs are open. Those
+// of keys with an open job or in their quiet period are kept.
 func TestKeysForgotten(t *testing.T) {
 	h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 	h.start(func(s *Settings) { s.KeyQuiet = time.Hour })
@@ -466,6 +466,7 @@
 		maxQueues = max(maxQueues, len(h.c.keyQueues))
 	}
 	if maxQueues > 200 || h.c.keyQueues["stays"] == nil || h.c.keyQueues["rests"] == nil {
-		t.Error(maxQueues, "key queues at most, want up to 200; open and quiet ones kept:", h.c.keyQueues["stays"] != nil, h.c.keyQueues["rests"] != nil)
+		t.Error(maxQueues, "key queues at most, want up to 200; open and quiet ones kept:",
+			h.c.keyQueues["stays"] != nil, h.c.keyQueues["rests"] != nil)
 	}
 }
--- a/logic/place_test.go
+++ b/logic/place_test.go
@@ -14,10 +14,10 @@
 	noRetries bool // allows no retries
 }
 
-func (p *enginePool) Set() any                                { return p }
-func (p *enginePool) Allows(e EngineID) bool                  { return slices.Contains(p.engines, e) }
-func (p *enginePool) Room() bool                              { return !p.full }
-func (p *enginePool) Further(first, since time.Duration) bool { return !p.noRetries }
+func (p *enginePool) Set() any                                         { return p }
+func (p *enginePool) Allows(e EngineID) bool                           { return slices.Contains(p.engines, e) }
+func (p *enginePool) Room() bool                                       { return !p.full }
+func (p *enginePool) Further(sinceFirst, sinceLast time.Duration) bool { return !p.noRetries }
 
 // submitPlaced has a job with a placement arrive.
 func (h *fakeHost) submitPlaced(id JobID, name ClassName, timeout time.Duration, p *enginePool) {
@@ -56,8 +56,8 @@
 		p.full = false
 		h.advance(20 * ms)
 	})
-	// Jobs that wait for a placement without room must not cause others to be shed, and overload of a small pool sheds only
-	// jobs of that pool.
+	// Jobs that wait for a placement without room must not cause others to be shed, and overload of a small pool sheds
+	// only jobs of that pool.
 	runGolden(t, "placement_sheds_its_own", func(h *fakeHost) {
 		h.start(nil)
 		h.addEngines("a", "b")
