--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -8,12 +8,12 @@
 
 // BenchmarkJob measures one job from arrival to answer, with no other jobs and with 100 queued.
 func BenchmarkJob(b *testing.B) {
-	for _, held := range []int{0, 100} {
-		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
+	for _, queued := range []int{0, 100} {
+		b.Run(fmt.Sprintf("held=%d", queued), func(b *testing.B) {
 			h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 			h.start(nil)
 			h.addEngines("a", "b", "c", "d")
-			for n := range held {
+			for n := range queued {
 				h.c.JobTaken(h.now, JobID(fmt.Sprint("held", n)), "load", "", "key", h.now+time.Hour, 0, 0, 1, false, nil)
 			}
 			b.ReportAllocs()
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -75,7 +75,8 @@
 	m.value += (sample - m.value) / m.samples
 }
 
-// keyQueue is the FIFO queue of the jobs of one order key: only the first may be in flight.
+// keyQueue is the FIFO queue of the jobs of one order key. Only the first job is dispatched; it leaves the queue when it
+// has its final answer and no attempt in flight.
 type keyQueue struct {
 	jobs       []*job
 	quietUntil time.Duration // the next job of the key waits until then, as an earlier one may still be running
@@ -102,21 +103,23 @@
 	maxJobThreads    float64       // threads of the widest class
 	minLatencyTarget time.Duration // of all classes
 	controllerCount  float64       // controllers in the fleet, at least 1
-	// Totals over the candidates, kept by updateTotals. Counts are float64, as they enter sums of threads.
-	upCount    float64 // engines that take jobs
-	upCores    float64 // cores of those
-	coldCount  float64 // how many of those are cold
+	// Totals over the candidates that take jobs, set by updateTotals unless noted. Counts are float64, as they are used
+	// in calculations of threads.
+	upCount    float64 // number of engines
+	upCores    float64 // their cores
+	coldCount  float64 // number of cold engines
 	subsetSize float64 // number of engines that the limits are allocated to, set by allocateLimits
-	upLimit    float64 // limits of all engines that take jobs, in threads
-	// The sums over the engines in use: suspected ones are left out unless most are suspected, and a cold one's
-	// limit counts as no more than the threads that it has in flight.
-	usableLimit         float64
-	busyThreads         float64
-	burstCredit         float64 // thread seconds of the limits that were left unused lately; see updateTotals
-	creditUpdatedAt     time.Duration
+	upLimit    float64 // sum of their limits, in threads
+	// Totals over the engines in use, set by updateTotals. Suspected engines are left out unless most are suspected, and
+	// the limit of a cold engine counts as the threads that it has in flight.
+	usableLimit     float64
+	busyThreads     float64
+	burstCredit     float64 // thread seconds of the limits that were left unused lately; see updateTotals
+	creditUpdatedAt time.Duration
+	// Statistics of the answers of all engines.
 	underestimatedShare runningMean // share of answers that took far less than their declared cost, 0 to 1
-	slowness            runningMean // latency over the best latency, over all engines
-	memoryGranted       runningMean // share of memory granted, over all engines
+	slowness            runningMean // latency over the best latency
+	memoryGranted       runningMean // share of memory granted
 }
 
 // Timers: the sweep, and the delay before the list of engines is requested again after a failure.
@@ -130,7 +133,8 @@
 	c := &Controller{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)),
 		classes: map[ClassName]*class{}, limits: settings.Limits,
 		list: engineList{byID: map[EngineID]*engine{}, coreRatio: 1}, jobs: map[JobID]*job{},
-		keyQueues: map[Key]*keyQueue{}, minLatencyTarget: math.MaxInt64, controllerCount: math.Max(1, float64(settings.Controllers))}
+		keyQueues: map[Key]*keyQueue{}, minLatencyTarget: math.MaxInt64,
+		controllerCount: math.Max(1, float64(settings.Controllers))}
 	for _, jobClass := range settings.Classes {
 		c.classes[jobClass.Name] = &class{Class: jobClass}
 		c.maxJobThreads, c.minLatencyTarget = math.Max(c.maxJobThreads, jobClass.Threads),
@@ -353,13 +357,13 @@
 func (c *Controller) allocateLimits() {
 	c.subsetSize = math.Max(1, math.Min(math.Ceil(c.upLimit/c.maxJobThreads), c.upCount))
 	// The fraction of all controllers that have an engine in their subset, per core of the engine.
-	controllersPerCore := c.subsetSize / c.upCores
+	controllerFractionPerCore := c.subsetSize / c.upCores
 	if c.subsetSize == c.upCount {
-		controllersPerCore = 1
+		controllerFractionPerCore = 1
 	}
 	for _, e := range c.candidates {
 		if e.allocatedLimit = 0; e.health == Up && e.subsetRank < int(c.subsetSize) {
-			e.allocatedLimit = e.limit / math.Min(1, controllersPerCore*e.cores)
+			e.allocatedLimit = e.limit / math.Min(1, controllerFractionPerCore*e.cores)
 		}
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -11,6 +11,7 @@
 
 const ms = time.Millisecond
 
+// TestRules compares the decisions in scenarios of the order of dispatch and of each numbered rule with expected traces.
 func TestRules(t *testing.T) {
 	runGolden(t, "least_slack", func(h *fakeHost) {
 		h.start(nil)
@@ -143,6 +144,8 @@
 	})
 }
 
+// TestFailures compares the decisions after failures of engines, in overload and with many controllers with expected
+// traces.
 func TestFailures(t *testing.T) {
 	runGolden(t, "clock_far_from_zero", func(h *fakeHost) {
 		h.now += 200 * time.Hour
--- a/logic/place_test.go
+++ b/logic/place_test.go
@@ -25,6 +25,7 @@
 	h.c.JobTaken(h.now, id, name, "", "", h.now+timeout, 0, 0, 1, false, p)
 }
 
+// TestPlacements compares the decisions for jobs with placements with expected traces.
 func TestPlacements(t *testing.T) {
 	runGolden(t, "placement_keeps_to_its_engines", func(h *fakeHost) {
 		h.start(nil)
