--- a/decide/limit/budget.go
+++ b/decide/limit/budget.go
@@ -5,100 +5,103 @@
 	"time"
 )
 
-// Budget keeps rule 7: in no window of the settings does a controller begin more further attempts than a free number and a share
-// of the jobs that it took in that window. It counts as an observer does who sees when jobs come and when attempts begin:
+// Budget is the retry budget of a controller (rule 7). A retry is any attempt of a job after its first. In each sliding window,
+// a controller starts at most a fixed number of retries plus a share of the jobs that it took in that window. Jobs and retries
+// are counted by the times at which an outside observer sees jobs arrive and attempts start:
 //
-//   - A job counts from when it was taken, but only once an attempt of it is over that an engine had and did not refuse as
-//     faulty. What is refused at once, repeats an id, can't be read by engines or whose client has left earns nothing: any
-//     client could otherwise buy further attempts for the others, at no cost.
-//   - A further attempt counts from its decision, and again from when it begins, which Began is asked about: it may have waited
-//     for a connection.
+//   - A job counts from the time it was taken, but only after an attempt of it has ended that reached an engine and was not
+//     refused as faulty. Jobs that are refused at once, that repeat an id, that engines can't parse or whose client has left do
+//     not count: otherwise any client could increase the retry budget of all others at no cost.
+//   - A retry counts from the time it was decided. When it starts, which may be later as it may have waited for a connection,
+//     Began checks it again and counts it from then.
 //
-// Jobs may have been read later than they came, and attempts leave later than they begin here: the window's edges are drawn
-// against this controller by lead and late. The zero value allows everything.
+// Jobs may be read after they arrived, and the bytes of an attempt may leave after it started. The window is therefore shortened
+// for jobs by up to maxJobReadDelay and lengthened for retries by attemptSendDelay. The zero value allows everything.
 type Budget struct {
-	window      time.Duration
-	free, share float64
-	earned      []time.Duration // when jobs that count were taken, in order
-	spent       []time.Duration // when further attempts were decided or began, in order
+	window                     time.Duration
+	freeRetries, retriesPerJob float64
+	jobTimes                   []time.Duration // times at which the counted jobs were taken, ascending
+	retryTimes                 []time.Duration // times at which retries were decided or started, ascending
 }
 
-// Jobs count for lead less than the window, as they may have come before they were read, and attempts for late more, as they may
-// leave after they began.
+// A job counts for a shorter time than the window, as it may have arrived before it was read: shorter by maxJobReadDelay, or by
+// the window divided by windowsPerReadDelay if that is less. A retry counts for attemptSendDelay longer than the window, as its
+// bytes may leave after it started.
 const (
-	mostLead     = 500 * time.Millisecond
-	leadOfWindow = 20
-	late         = 150 * time.Millisecond
+	maxJobReadDelay     = 500 * time.Millisecond
+	windowsPerReadDelay = 20
+	attemptSendDelay    = 150 * time.Millisecond
 )
 
-// newBudget gives the budget of a controller that starts; a window of 0 allows everything.
-func newBudget(window time.Duration, free, share float64) Budget {
-	return Budget{window: window, free: free, share: share}
+// newBudget returns an empty budget. freeRetries is the number of retries allowed in a window without any job, retriesPerJob the
+// number of additional retries for each job. A window of 0 allows everything.
+func newBudget(window time.Duration, freeRetries, retriesPerJob float64) Budget {
+	return Budget{window: window, freeRetries: freeRetries, retriesPerJob: retriesPerJob}
 }
 
-// Earned counts a job that was taken at a time.
-func (b *Budget) Earned(now, taken time.Duration) {
+// Earned counts a job that was taken at the given time. now is the current time.
+func (b *Budget) Earned(now, takenAt time.Duration) {
 	if b.window == 0 {
 		return
 	}
-	b.forget(now)
-	b.earned = insert(b.earned, taken)
+	b.dropExpired(now)
+	b.jobTimes = insertSorted(b.jobTimes, takenAt)
 }
 
-// MayRepeat tells whether a further attempt may be decided.
-func (b *Budget) MayRepeat(now time.Duration) bool { return b.allows(now) }
+// MayRepeat reports whether the budget allows another retry now. It does not count the retry.
+func (b *Budget) MayRepeat(now time.Duration) bool { return b.allowsRetry(now) }
 
-// Repeated counts a further attempt that was decided.
+// Repeated counts a retry that was decided now.
 func (b *Budget) Repeated(now time.Duration) {
 	if b.window == 0 {
 		return
 	}
-	b.forget(now)
-	b.spent = insert(b.spent, now)
+	b.dropExpired(now)
+	b.retryTimes = insertSorted(b.retryTimes, now)
 }
 
-// Began has a further attempt that was decided at a time count from now on, when it begins. It tells whether it may: where it may
-// not, it stays counted as decided.
-func (b *Budget) Began(decided, now time.Duration) bool {
+// Began is called when a retry is about to start that was decided earlier. It reports whether the retry may start, and if so
+// counts it from now on instead of from its decision. If not, the retry stays counted at the time of its decision.
+func (b *Budget) Began(decidedAt, now time.Duration) bool {
 	if b.window == 0 {
 		return true
 	}
-	at, known := slices.BinarySearch(b.spent, decided)
-	if known {
-		b.spent = slices.Delete(b.spent, at, at+1)
+	index, found := slices.BinarySearch(b.retryTimes, decidedAt)
+	if found {
+		b.retryTimes = slices.Delete(b.retryTimes, index, index+1)
 	}
-	if !b.allows(now) {
-		b.spent = insert(b.spent, decided)
+	if !b.allowsRetry(now) {
+		b.retryTimes = insertSorted(b.retryTimes, decidedAt)
 		return false
 	}
-	b.spent = insert(b.spent, now)
+	b.retryTimes = insertSorted(b.retryTimes, now)
 	return true
 }
 
-// allows one more beside those that count.
-func (b *Budget) allows(now time.Duration) bool {
+// allowsRetry reports whether one more retry fits into the budget.
+func (b *Budget) allowsRetry(now time.Duration) bool {
 	if b.window == 0 {
 		return true
 	}
-	b.forget(now)
-	lead := min(mostLead, b.window/leadOfWindow)
-	jobs := len(b.earned) - first(b.earned, now-b.window+lead)
-	attempts := len(b.spent)
-	return float64(attempts+1) <= b.free+b.share*float64(jobs)
+	b.dropExpired(now)
+	readDelay := min(maxJobReadDelay, b.window/windowsPerReadDelay)
+	jobs := len(b.jobTimes) - firstAfter(b.jobTimes, now-b.window+readDelay)
+	retries := len(b.retryTimes)
+	return float64(retries+1) <= b.freeRetries+b.retriesPerJob*float64(jobs)
 }
 
-// forget what counts no more.
-func (b *Budget) forget(now time.Duration) {
-	b.earned = b.earned[first(b.earned, now-b.window):]
-	b.spent = b.spent[first(b.spent, now-b.window-late):]
+// dropExpired drops the times that no window ending at or after now contains.
+func (b *Budget) dropExpired(now time.Duration) {
+	b.jobTimes = b.jobTimes[firstAfter(b.jobTimes, now-b.window):]
+	b.retryTimes = b.retryTimes[firstAfter(b.retryTimes, now-b.window-attemptSendDelay):]
 }
 
-// first is where the times after one begin.
-func first(times []time.Duration, after time.Duration) int {
-	at, _ := slices.BinarySearch(times, after+1)
-	return at
+// firstAfter returns the index of the first time later than the given one; times are ascending.
+func firstAfter(times []time.Duration, after time.Duration) int {
+	index, _ := slices.BinarySearch(times, after+1)
+	return index
 }
 
-func insert(times []time.Duration, t time.Duration) []time.Duration {
-	return slices.Insert(times, first(times, t), t)
+func insertSorted(times []time.Duration, at time.Duration) []time.Duration {
+	return slices.Insert(times, firstAfter(times, at), at)
 }
--- a/decide/limit/budget_test.go
+++ b/decide/limit/budget_test.go
@@ -10,13 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudget: in no window more further attempts than the settings allow, by a count beside it, where nothing waits.
+// TestBudget checks by a separate count that no window has more retries than the settings allow, for retries that start as soon
+// as they are decided.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{BudgetWindow: time.Second, BudgetFree: 2, BudgetShare: 0.2}
-		l := New(set)
-		var taken, further []time.Duration
-		within := func(list []time.Duration, from, to time.Duration) (n int) {
+		settings := Settings{BudgetWindow: time.Second, BudgetFree: 2, BudgetShare: 0.2}
+		l := New(settings)
+		var jobTimes, retryTimes []time.Duration
+		countWithin := func(list []time.Duration, from, to time.Duration) (n int) {
 			for _, at := range list {
 				if at >= from && at <= to {
 					n++
@@ -29,114 +30,117 @@
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
 			if rapid.Bool().Draw(t, "job") {
 				l.Earned(now, now)
-				taken = append(taken, now)
+				jobTimes = append(jobTimes, now)
 			} else if l.MayRepeat(now) {
 				l.Repeated(now)
-				further = append(further, now)
-				if n := within(further, now-set.BudgetWindow, now); float64(n) > set.BudgetFree+set.BudgetShare*float64(within(taken, now-set.BudgetWindow, now)) {
-					t.Fatalf("%d further attempts in the window before %v", n, now)
+				retryTimes = append(retryTimes, now)
+				if n := countWithin(retryTimes, now-settings.BudgetWindow, now); float64(n) > settings.BudgetFree+
+					settings.BudgetShare*float64(countWithin(jobTimes, now-settings.BudgetWindow, now)) {
+					t.Fatalf("%d retries in the window before %v", n, now)
 				}
 			}
 		}
 	})
 }
 
-// observed is a controller's budget beside what an observer sees of it on the wire: when jobs came, and when further attempts began.
-type observed struct {
-	budget        Budget
-	window        time.Duration
-	free, share   float64
-	taken, begins []time.Duration
-	waiting       []waitingAttempt // in the order of their begins
+// observedBudget pairs a controller's budget with what an observer sees on the wire: when jobs arrived and when retries were sent.
+type observedBudget struct {
+	budget                     Budget
+	window                     time.Duration
+	freeRetries, retriesPerJob float64
+	jobTimes, sentTimes        []time.Duration
+	pending                    []pendingRetry // by start time
 }
 
-// waitingAttempt is a further attempt that was decided and begins later.
-type waitingAttempt struct{ decided, begins, leaves time.Duration }
+// pendingRetry is a retry that was decided and starts later, for example when its connection is up.
+type pendingRetry struct{ decidedAt, startsAt, sentAt time.Duration }
 
-// Bounds of what is drawn: by how much a job is read late, an attempt's connection comes up late, and its bytes leave late.
-const mostReadLate, mostDial, mostLeave = 350 * ms, 1500 * ms, 110 * ms
+// Upper bounds of the random delays until a job is read, until an attempt's connection is up, and until its bytes leave.
+const maxReadDelay, maxDialDelay, maxSendDelay = 350 * ms, 1500 * ms, 110 * ms
 
-// begin plays the begins that are due.
-func (o *observed) begin(now time.Duration) {
-	slices.SortStableFunc(o.waiting, func(a, b waitingAttempt) int { return int(a.begins - b.begins) })
-	for len(o.waiting) > 0 && o.waiting[0].begins <= now {
-		a := o.waiting[0]
-		o.waiting = o.waiting[1:]
-		if a.begins == a.decided || o.budget.Began(a.decided, a.begins) {
-			o.begins = append(o.begins, a.leaves)
+// startDue starts the pending retries that are due, as far as the budget allows them.
+func (o *observedBudget) startDue(now time.Duration) {
+	slices.SortStableFunc(o.pending, func(a, b pendingRetry) int { return int(a.startsAt - b.startsAt) })
+	for len(o.pending) > 0 && o.pending[0].startsAt <= now {
+		a := o.pending[0]
+		o.pending = o.pending[1:]
+		if a.startsAt == a.decidedAt || o.budget.Began(a.decidedAt, a.startsAt) {
+			o.sentTimes = append(o.sentTimes, a.sentAt)
 		}
 	}
 }
 
-// worst is by how much the rule is broken at most, over all windows that end with a begin; below 0 it is kept.
-func (o *observed) worst() float64 {
-	worst := math.Inf(-1)
-	for _, t := range o.begins {
+// maxExcess returns the largest number of retries above the budget, over all windows that end with the start of a retry. The rule
+// is kept if it is 0 or less.
+func (o *observedBudget) maxExcess() float64 {
+	excess := math.Inf(-1)
+	for _, t := range o.sentTimes {
 		n, jobs := 0, 0
-		for _, at := range o.begins {
+		for _, at := range o.sentTimes {
 			if at > t-o.window && at <= t {
 				n++
 			}
 		}
-		for _, at := range o.taken {
+		for _, at := range o.jobTimes {
 			if at > t-o.window && at <= t {
 				jobs++
 			}
 		}
-		worst = max(worst, float64(n)-o.free-o.share*float64(jobs))
+		excess = max(excess, float64(n)-o.freeRetries-o.retriesPerJob*float64(jobs))
 	}
-	return worst
+	return excess
 }
 
-// TestBudgetObserved: the same as an observer sees it, who counts jobs as they come, and attempts as they begin: with jobs read late
-// after standstills, dials that come up late, writers that are slow, and restarts, after which a process knows of nothing and what
-// waited never begins. Times in which jobs come and times in which attempts fail take turns.
+// TestBudgetObserved checks the budget as an observer sees it, who counts jobs when they arrive and retries when they are sent.
+// Jobs are read late after the process was paused, connections come up late, writers are slow, and the process restarts, which
+// forgets its counts and drops pending retries. Phases in which jobs arrive alternate with phases in which attempts fail.
 func TestBudgetObserved(t *testing.T) {
 	const seeds, steps = 200, 800
 	for seed := range int64(seeds) {
 		rng := rand.New(rand.NewSource(seed))
-		window, late := 10*time.Second, mostReadLate
-		if rng.Intn(2) == 0 { // the edges are a part of the window
-			window, late = window/2, late/4
+		window, maxDelay := 10*time.Second, maxReadDelay
+		if rng.Intn(2) == 0 { // the read delay is bounded by a share of the window, not by maxJobReadDelay
+			window, maxDelay = window/2, maxDelay/4
 		}
-		o := &observed{window: window, free: 2, share: 0.1 + 0.1*rng.Float64()}
-		o.budget = newBudget(o.window, o.free, o.share)
-		drawn := func(most time.Duration) time.Duration { return time.Duration(rng.Int63n(int64(most))) }
-		now, phaseOver, jobs, dials := time.Minute, time.Duration(0), 0.0, 0.0
+		o := &observedBudget{window: window, freeRetries: 2, retriesPerJob: 0.1 + 0.1*rng.Float64()}
+		o.budget = newBudget(o.window, o.freeRetries, o.retriesPerJob)
+		randomUpTo := func(bound time.Duration) time.Duration { return time.Duration(rng.Int63n(int64(bound))) }
+		now, phaseEnd, jobProbability, dialProbability := time.Minute, time.Duration(0), 0.0, 0.0
 		for range steps {
-			if now >= phaseOver {
-				phaseOver = now + drawn(4*time.Second)
-				jobs, dials = []float64{0, 0.3, 0.9, 1}[rng.Intn(4)], rng.Float64()
+			if now >= phaseEnd {
+				phaseEnd = now + randomUpTo(4*time.Second)
+				jobProbability, dialProbability = []float64{0, 0.3, 0.9, 1}[rng.Intn(4)], rng.Float64()
 			}
-			now += drawn(100 * ms)
-			o.begin(now)
+			now += randomUpTo(100 * ms)
+			o.startDue(now)
 			switch {
 			case rng.Intn(steps) == 0:
-				o = &observed{budget: newBudget(o.window, o.free, o.share), window: o.window, free: o.free, share: o.share}
-			case rng.Float64() < jobs:
-				o.taken = append(o.taken, now-drawn(late))
+				o = &observedBudget{budget: newBudget(o.window, o.freeRetries, o.retriesPerJob), window: o.window,
+					freeRetries: o.freeRetries, retriesPerJob: o.retriesPerJob}
+			case rng.Float64() < jobProbability:
+				o.jobTimes = append(o.jobTimes, now-randomUpTo(maxDelay))
 				o.budget.Earned(now, now)
 			default:
-				o.repeats(now, func() (dial, leave time.Duration) {
-					if rng.Float64() < dials {
-						dial = drawn(mostDial)
+				o.retryAll(now, func() (dial, leave time.Duration) {
+					if rng.Float64() < dialProbability {
+						dial = randomUpTo(maxDialDelay)
 					}
-					return dial, drawn(mostLeave)
+					return dial, randomUpTo(maxSendDelay)
 				})
 			}
 		}
-		o.begin(now + mostDial)
-		if worst := o.worst(); worst > 0 {
-			t.Fatalf("seed %d: %.1f further attempts over in a window", seed, worst)
+		o.startDue(now + maxDialDelay)
+		if excess := o.maxExcess(); excess > 0 {
+			t.Fatalf("seed %d: %.1f retries above the budget in a window", seed, excess)
 		}
 	}
 }
 
-// repeats decides as many further attempts as are allowed, as where all attempts fail at once.
-func (o *observed) repeats(now time.Duration, draw func() (dial, leave time.Duration)) {
+// retryAll decides as many retries as the budget allows, as happens when all attempts fail at once.
+func (o *observedBudget) retryAll(now time.Duration, randomDelays func() (dial, send time.Duration)) {
 	for o.budget.MayRepeat(now) {
 		o.budget.Repeated(now)
-		dial, leave := draw()
-		o.waiting = append(o.waiting, waitingAttempt{now, now + dial, now + dial + leave})
+		dial, send := randomDelays()
+		o.pending = append(o.pending, pendingRetry{now, now + dial, now + dial + send})
 	}
 }
--- a/decide/limit/cold.go
+++ b/decide/limit/cold.go
@@ -6,102 +6,112 @@
 	"time"
 )
 
-// Engine is what a controller keeps about its sendings to one engine, for rule 4.
+// Engine records the work that a controller has sent to one engine, and limits it while the engine is cold (rule 4). Work is
+// measured in thread time: the time a job runs, times its threads.
 type Engine struct {
-	of     *Limits
-	cores  float64
-	since  time.Duration // when it started, 0 for long ago
-	lately []sending
-	given  time.Duration // all work sent
-	rests  time.Duration // after a job of more than a part, until then
+	limits       *Limits
+	cores        float64
+	startedAt    time.Duration // start of the engine's process, 0 if it is long ago
+	recent       []sentJob
+	totalSent    time.Duration // total work sent so far
+	blockedUntil time.Duration // after a job larger than the allowance, no job is sent before this time
 }
 
-// sending is one; before is all work that was sent until then.
-type sending struct{ at, before time.Duration }
+// sentJob is one job sent; totalBefore is the total work that was sent earlier.
+type sentJob struct{ sentAt, totalBefore time.Duration }
 
-// Engine begins the account of one with so many cores.
-func (l *Limits) Engine(cores float64) *Engine { return &Engine{of: l, cores: cores} }
+// Engine returns an empty record for an engine with the given number of cores.
+func (l *Limits) Engine(cores float64) *Engine { return &Engine{limits: l, cores: cores} }
 
-// Started tells when the engine's process began. What was sent before is kept: it may still be on its way.
-func (e *Engine) Started(since time.Duration) { e.since = since }
+// Started sets when the engine's process started, 0 if that is long ago. Work sent earlier still counts, as it may be in transit.
+func (e *Engine) Started(startedAt time.Duration) { e.startedAt = startedAt }
 
-// Cold tells whether it has started too lately to do all its work.
+// Cold reports whether the engine started too recently to have its full capacity.
 func (e *Engine) Cold(now time.Duration) bool {
-	return e.since != 0 && e.of.set.Fall != 0 && now-e.since < e.of.set.Cold
+	return e.startedAt != 0 && e.limits.settings.Fall != 0 && now-e.startedAt < e.limits.settings.Cold
 }
 
-// coldShare leaves room for what was sent before a start was told, for chance and for uneven controllers.
-const coldShare = 0.75
+// coldUsableShare is the share of the work under which a cold engine fails that controllers may send. The rest is headroom for work
+// sent before controllers learned of the start, for random variation, and for load that differs between controllers.
+const coldUsableShare = 0.75
 
-// coldThreads a core are what an engine bears: with some of the work on disks, about what keeps 85% of its cores busy, which
-// is what capacity counts. How much is on disks is told by nobody; the room that coldShare leaves covers the difference, down to
-// none (TestColdFleet).
-const coldThreads, coldBusy = 1.4, 0.85
+// coldThreadsPerCore is the number of threads for each core that an engine can run. As threads wait for disks part of the time,
+// this keeps about 85% of the cores busy (coldCoreUtilization), on which the capacity is based. The share of disk time is not
+// reported; the headroom of coldUsableShare covers other values down to no disk time at all (TestColdFleet).
+const coldThreadsPerCore, coldCoreUtilization = 1.4, 0.85
 
-// turnWidth is the part of a span that a turn lasts: in any span can begin those turns that begin in it, and those that
-// had begun before; a third more than in the mean is what coldShare leaves room for.
-const turnWidth = 0.5
+// turnFraction is the length of a turn as a fraction of a span. Jobs sent in one span belong to the turns that begin in it and to
+// those that began before it; coldUsableShare leaves headroom for a third more than the mean.
+const turnFraction = 0.5
 
-// Allows keeps rule 4. Of what a cold engine stands in the span, each controller that has it in its subset takes an equal
-// part, others none; share is the part of all controllers' subsets that it is in, as in engines of a subset over all. A job of more than a
-// part goes in turn: turns are spread by number over as many spans as it needs parts, and so many spans have to lie between
-// the start and it, and behind it; clocks need only roughly agree. Guards against controllers that a start finds with wide
-// jobs in hand: without it all in turn sent one, and all others their parts, half as much again as is meant. A start is
-// taken to ramp up along half a line. Harm: an engine that stays at its least, lists that differ.
+// Allows reports whether a job of the given work may be sent to the engine now (rule 4). The work that a cold engine can take in
+// a span, Settings.Fall, is divided equally among the controllers that have it in their subsets; others send nothing. share is
+// the fraction of all controllers that have the engine in their subset: the size of a subset over the number of engines.
+//
+// A job larger than the controller's allowance for one span is sent in turn: the controllers' turns are spread by controller
+// number over as many spans as the job needs allowances, and as many spans must pass between the engine's start and the job, and
+// after the job. Clocks need to agree only roughly. This guards against controllers that hold large jobs when an engine starts:
+// without it, each controller whose turn it was sent such a job while all others sent their allowances, one and a half times the
+// intended work.
+//
+// Capacity is assumed to rise at half the slope of the linear ramp. The limit can be exceeded when an engine stays at its
+// starting capacity, or when controllers have different lists of engines.
 func (e *Engine) Allows(now, work time.Duration, share float64) bool {
 	if !e.Cold(now) {
 		return true
 	}
-	if e.of.begins(now); e.forgotten(now) {
+	if e.limits.recordFirstCall(now); e.mayHaveForgotten(now) {
 		return false
 	}
-	part, whole := e.part(now, share)
-	turns, sum := math.Max(1, math.Ceil(float64(work)/part)), float64(work)
-	if share == 0 || sum > whole || now < e.rests || turns > 1 && !e.turn(now, turns) {
+	own, fleet := e.allowance(now, share)
+	spans, total := math.Max(1, math.Ceil(float64(work)/own)), float64(work)
+	if share == 0 || total > fleet || now < e.blockedUntil || spans > 1 && !e.isOwnTurn(now, spans) {
 		return false
 	}
-	from := now - e.of.set.Fall*time.Duration(turns)
-	if n := sort.Search(len(e.lately), func(n int) bool { return e.lately[n].at >= from }); n < len(e.lately) {
-		sum += float64(e.given - e.lately[n].before)
+	windowStart := now - e.limits.settings.Fall*time.Duration(spans)
+	if index := sort.Search(len(e.recent), func(index int) bool { return e.recent[index].sentAt >= windowStart }); index < len(e.recent) {
+		total += float64(e.totalSent - e.recent[index].totalBefore)
 	}
-	return sum <= turns*part
+	return total <= spans*own
 }
 
-// forgotten tells that the controller's process, restarted, may have sent to this engine in the last span before it began, and knows
-// nothing of that.
-func (e *Engine) forgotten(now time.Duration) bool {
-	return e.since <= e.of.born && now-e.of.born < e.of.set.Fall
+// mayHaveForgotten reports whether an earlier process of this controller may have sent work to the engine within the last span. A
+// restarted process has no record of that work.
+func (e *Engine) mayHaveForgotten(now time.Duration) bool {
+	return e.startedAt <= e.limits.firstCallAt && now-e.limits.firstCallAt < e.limits.settings.Fall
 }
 
-// part is what this controller may send in a span, and whole what all may. Where less than one controller in the mean has the engine
-// in its subset, one that has it is alone.
-func (e *Engine) part(now time.Duration, share float64) (part, whole float64) {
-	set := &e.of.set
-	bears := coldBusy * e.cores * coldThreads // work in a time, when warm
-	whole = coldShare * set.FallMultiple * e.warmth(now) * bears * float64(set.Fall)
-	return whole / math.Max(1, share*e.of.many), whole
+// allowance returns the work that this controller may send in a span, and the work that all controllers together may send. If on
+// average less than one controller has the engine in its subset, a controller that has it may send all of that work.
+func (e *Engine) allowance(now time.Duration, share float64) (own, fleet float64) {
+	settings := &e.limits.settings
+	warmThreads := coldCoreUtilization * e.cores * coldThreadsPerCore // threads a warm engine runs: work per unit of time
+	fleet = coldUsableShare * settings.FallMultiple * e.minCapacityShare(now) * warmThreads * float64(settings.Fall)
+	return fleet / math.Max(1, share*e.limits.controllers), fleet
 }
 
-// turn tells whether it is this controller's, one in so many spans.
-func (e *Engine) turn(now time.Duration, turns float64) bool {
-	set := &e.of.set
-	_, at := math.Modf(float64(now)/float64(set.Fall)/turns + float64(set.Number)*math.Phi)
-	return at*turns <= turnWidth && float64(now-e.since) >= turns*float64(set.Fall)
+// isOwnTurn reports whether it is this controller's turn. Each controller has one turn in the given number of spans, and none
+// before that many spans have passed since the engine's start.
+func (e *Engine) isOwnTurn(now time.Duration, spans float64) bool {
+	settings := &e.limits.settings
+	_, phase := math.Modf(float64(now)/float64(settings.Fall)/spans + float64(settings.Number)*math.Phi)
+	return phase*spans <= turnFraction && float64(now-e.startedAt) >= spans*float64(settings.Fall)
 }
 
-// warmth is the share of its capacity that a cold engine surely has.
-func (e *Engine) warmth(now time.Duration) float64 {
-	set := &e.of.set
-	age := float64(now-set.Fall-e.since) / float64(set.Cold)
-	return set.StartCapacity + (1-set.StartCapacity)*math.Max(age, 0)/2
+// minCapacityShare returns a lower bound of the share of its full capacity that a cold engine has.
+func (e *Engine) minCapacityShare(now time.Duration) float64 {
+	settings := &e.limits.settings
+	age := float64(now-settings.Fall-e.startedAt) / float64(settings.Cold)
+	return settings.StartCapacity + (1-settings.StartCapacity)*math.Max(age, 0)/2
 }
 
-// Sent keeps what went there. It is kept for warm engines too, as the word of a start comes late.
+// Sent records a job that was sent to the engine. It also does so while the engine is not cold, as a controller may learn of a
+// restart only later.
 func (e *Engine) Sent(now, work time.Duration, share float64) {
-	old := sort.Search(len(e.lately), func(n int) bool { return e.lately[n].at >= now-e.of.set.Cold })
-	e.lately = append(e.lately[old:], sending{now, e.given})
-	e.given += work
-	if part, _ := e.part(now, share); e.Cold(now) && float64(work) > part {
-		e.rests = now + time.Duration(math.Ceil(float64(work)/part))*e.of.set.Fall
+	firstRecent := sort.Search(len(e.recent), func(n int) bool { return e.recent[n].sentAt >= now-e.limits.settings.Cold })
+	e.recent = append(e.recent[firstRecent:], sentJob{now, e.totalSent})
+	e.totalSent += work
+	if own, _ := e.allowance(now, share); e.Cold(now) && float64(work) > own {
+		e.blockedUntil = now + time.Duration(math.Ceil(float64(work)/own))*e.limits.settings.Fall
 	}
 }
--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -1,11 +1,11 @@
-// Package limit keeps the amounts that a controller may use by itself: further attempts (rule 7), work for an engine
-// that has just started (rule 4), and what is within a customer's share. Each controller keeps its own part, with no word
-// from the others, so that all parts together stay within the whole. It does no I/O and asks no clock; times are whole
-// nanoseconds of one clock that only moves forward.
+// Package limit implements the limits that a controller enforces without talking to the others: the retry budget (rule 7), the
+// work sent to an engine that has just started (rule 4), and the job rates of customers. Each controller enforces its own part
+// of a limit, so that the parts of all controllers together stay within the limit of the fleet. The package does no I/O and reads
+// no clock; times are whole nanoseconds of one monotonic clock.
 //
-// Its promises, with equal parts for all controllers: in no window more further attempts than the settings allow (Budget); to a
-// cold engine, over any span of the settings, no more from all controllers together than the share named at coldShare of
-// what makes it fall, as long as no controller has more than one engine's turn at a time.
+// It guarantees, with equal parts for all controllers: no window has more retries than the settings allow (Budget); in any span
+// of Settings.Fall, all controllers together send a cold engine no more than the share coldUsableShare of the work that makes it
+// fail, as long as no controller has turns at more than one engine at a time.
 package limit
 
 import (
@@ -13,72 +13,75 @@
 	"time"
 )
 
-// CustomerID names who pays for jobs.
+// CustomerID identifies the customer who pays for a job.
 type CustomerID string
 
-// Customer has a share of the fleet's jobs a second.
+// Customer is a customer with its job rate.
 type Customer struct {
 	Name     CustomerID
-	JobsPerS float64 // over all controllers; 0 for no share
+	JobsPerS float64 // jobs per second over all controllers; 0 means no limit
 }
 
-// Settings are the operators' figures. A limit of zero is off.
+// Settings are the limits that operators configure. A limit of zero is disabled.
 type Settings struct {
 	Controllers   int
-	Number        int // of this controller, from 0
+	Number        int // number of this controller, counted from 0
 	Customers     []Customer
 	BudgetWindow  time.Duration
-	BudgetFree    float64
-	BudgetShare   float64       // of the jobs taken in the window
-	StartCapacity float64       // of an engine, as it starts
-	Cold          time.Duration // until it has all of it
-	FallMultiple  float64       // of its capacity, at which it falls
-	Fall          time.Duration // in which that has to come
+	BudgetFree    float64       // retries allowed in a window without any job
+	BudgetShare   float64       // additional retries for each job taken in the window
+	StartCapacity float64       // share of its capacity that an engine has when it starts
+	Cold          time.Duration // time from an engine's start until it has its full capacity
+	FallMultiple  float64       // multiple of its current capacity at which a cold engine fails
+	Fall          time.Duration // span within which work of that multiple makes it fail
 }
 
-// Limits of one controller.
+// Limits are the limits of one controller.
 type Limits struct {
 	Budget
-	set       Settings
-	many      float64
-	customers map[CustomerID]*customer
-	born      time.Duration // when this was first asked or told anything
-	known     bool          // that is so
+	settings    Settings
+	controllers float64
+	buckets     map[CustomerID]*tokenBucket
+	firstCallAt time.Duration // time of the first call that records it, taken as the start of the process
+	called      bool          // whether that time is set
 }
 
-// New gives the limits of a controller that starts.
-func New(set Settings) *Limits {
-	l := &Limits{Budget: newBudget(set.BudgetWindow, set.BudgetFree, set.BudgetShare), set: set, many: math.Max(1, float64(set.Controllers)), customers: map[CustomerID]*customer{}}
-	for _, c := range set.Customers {
-		l.customers[c.Name] = &customer{perS: c.JobsPerS / l.many}
+// New returns the limits of a controller that starts.
+func New(settings Settings) *Limits {
+	l := &Limits{Budget: newBudget(settings.BudgetWindow, settings.BudgetFree, settings.BudgetShare), settings: settings,
+		controllers: math.Max(1, float64(settings.Controllers)), buckets: map[CustomerID]*tokenBucket{}}
+	for _, c := range settings.Customers {
+		l.buckets[c.Name] = &tokenBucket{tokensPerSecond: c.JobsPerS / l.controllers}
 	}
 	return l
 }
 
-type customer struct {
-	tokens, perS float64
-	filled       time.Duration
+// tokenBucket is the token bucket of a customer.
+type tokenBucket struct {
+	tokens, tokensPerSecond float64
+	refilledAt              time.Duration
 }
 
-// Within takes one of the customer's tokens, which gather for a second, so that a short bunch is not over its share.
-func (l *Limits) Within(now time.Duration, name CustomerID) bool {
-	l.begins(now)
-	c := l.customers[name]
-	if c == nil || c.perS <= 0 {
+// Within reports whether a job of the customer is within its rate, and if so takes a token for it. A customer without a rate is
+// always within it. Tokens accumulate for up to one second, so that a short burst is not above the rate.
+func (l *Limits) Within(now time.Duration, customer CustomerID) bool {
+	l.recordFirstCall(now)
+	bucket := l.buckets[customer]
+	if bucket == nil || bucket.tokensPerSecond <= 0 {
 		return true
 	}
-	c.tokens = math.Min(c.tokens+c.perS*(now-c.filled).Seconds(), math.Max(1, c.perS))
-	c.filled = now
-	if c.tokens < 1 {
+	bucket.tokens = math.Min(bucket.tokens+bucket.tokensPerSecond*(now-bucket.refilledAt).Seconds(), math.Max(1, bucket.tokensPerSecond))
+	bucket.refilledAt = now
+	if bucket.tokens < 1 {
 		return false
 	}
-	c.tokens--
+	bucket.tokens--
 	return true
 }
 
-// begins keeps when a controller's process began, as seen by the first call.
-func (l *Limits) begins(now time.Duration) {
-	if !l.known {
-		l.born, l.known = now, true
+// recordFirstCall records the time of the first call as the start of the controller's process.
+func (l *Limits) recordFirstCall(now time.Duration) {
+	if !l.called {
+		l.firstCallAt, l.called = now, true
 	}
 }
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -15,9 +15,9 @@
 
 const ms = time.Millisecond
 
-var update = flag.Bool("update", false, "write the traces anew, to be read before they are kept")
+var update = flag.Bool("update", false, "rewrite the golden files; review the changes before committing them")
 
-// TestMain gives the property tests the same seed in each run; -rapid.seed looks further.
+// TestMain runs the property tests with a fixed seed; -rapid.seed selects another.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -25,7 +25,8 @@
 	os.Exit(m.Run())
 }
 
-func keep(t *testing.T, lines []string) {
+// compareGolden compares lines with the golden file of the test, or writes the file if -update is set.
+func compareGolden(t *testing.T, lines []string) {
 	t.Helper()
 	file := filepath.Join("testdata", t.Name()+".txt")
 	if *update {
@@ -38,12 +39,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(strings.TrimRight(string(want), "\n"), "\n"), lines); diff != "" {
-		t.Error("limits differ (-kept +now):\n" + diff)
+		t.Error("limits differ from the golden file (-want +got):\n" + diff)
 	}
 }
 
-// TestRestarted: a process that has just begun knows nothing of what the one before it sent to an engine that is cold: for a span it
-// sends nothing there. To one that starts later it sends at once.
+// TestRestarted checks that a restarted controller sends nothing to a cold engine for one span, as it has no record of what its
+// earlier process sent there. To an engine that starts after the controller it may send at once.
 func TestRestarted(t *testing.T) {
 	const start = time.Minute
 	l := New(Settings{Controllers: 1, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second})
@@ -61,11 +62,11 @@
 	}
 }
 
-// TestTurns: one of three controllers at a cold engine of 4 cores; a lookup fits its part at each moment, a report waits
-// for its turn, and what was sent counts until the span is over.
+// TestTurns traces one of three controllers that sends to a cold engine of 4 cores. A lookup fits into the controller's allowance
+// at any time, a report waits for the controller's turn, and work sent counts until the span is over.
 func TestTurns(t *testing.T) {
 	l := New(Settings{Controllers: 3, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second})
-	l.Within(0, "") // the process has run for some time
+	l.Within(0, "") // the process started long before the engine
 	e := l.Engine(4)
 	e.Started(time.Minute)
 	var lines []string
@@ -82,54 +83,55 @@
 		}
 		lines = append(lines, line)
 	}
-	keep(t, lines)
+	compareGolden(t, lines)
 }
 
-// TestColdTogether: whatever the controllers of a fleet are asked to send, and however often, together they stay under
-// the share of the multiple that makes a cold engine fall, in every span, by the engine's own count.
+// TestColdTogether checks that in every span, counted at the engine, the controllers together send less work than makes a cold
+// engine fail, whatever jobs they have and however often they ask.
 func TestColdTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controllers := rapid.IntRange(1, 12).Draw(t, "controllers")
-		set := Settings{Controllers: controllers, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second}
+		settings := Settings{Controllers: controllers, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second}
 		var engines []*Engine
-		for set.Number = range controllers {
-			e := New(set).Engine(4)
+		for settings.Number = range controllers {
+			e := New(settings).Engine(4)
 			e.Started(time.Minute)
 			engines = append(engines, e)
 		}
-		type came struct{ at, work time.Duration }
-		var all []came
+		type sentJob struct{ at, work time.Duration }
+		var all []sentJob
 		works := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{40 * ms, 400 * ms, 1500 * ms, 2500 * ms}), 1, 6).Draw(t, "works")
-		asked := rapid.SliceOfN(rapid.IntRange(0, 99), controllers, controllers).Draw(t, "asked") // from step to step, of a hundred
+		skipPercent := rapid.SliceOfN(rapid.IntRange(0, 99), controllers, controllers).Draw(t, "asked") // percentage of steps without a job
 		for step, now := 0, time.Minute; now < time.Minute+9*time.Second; now += 20 * ms {
 			for n, e := range engines {
 				step++
-				if work := works[(step+n)%len(works)]; step*7919%100 >= asked[n] && e.Allows(now, work, 1) {
+				if work := works[(step+n)%len(works)]; step*7919%100 >= skipPercent[n] && e.Allows(now, work, 1) {
 					e.Sent(now, work, 1)
-					all = append(all, came{now, work})
+					all = append(all, sentJob{now, work})
 				}
 			}
 		}
 		if len(all) == 0 {
-			t.Fatal("nothing may go at all")
+			t.Fatal("no job was allowed")
 		}
 		for _, first := range all {
 			sum := time.Duration(0)
 			for _, c := range all {
-				if c.at >= first.at && c.at < first.at+set.Fall {
+				if c.at >= first.at && c.at < first.at+settings.Fall {
 					sum += c.work
 				}
 			}
-			age := float64(first.at-time.Minute) / float64(set.Cold)
-			most := set.FallMultiple * (set.StartCapacity + (1-set.StartCapacity)*age) * coldBusy * coldThreads * 4 * set.Fall.Seconds()
-			if sum.Seconds() > most {
-				t.Fatalf("%v from %v on, at most %.1f s are allowed", sum, first.at-time.Minute, most)
+			age := float64(first.at-time.Minute) / float64(settings.Cold)
+			maxWork := settings.FallMultiple * (settings.StartCapacity + (1-settings.StartCapacity)*age) *
+				coldCoreUtilization * coldThreadsPerCore * 4 * settings.Fall.Seconds()
+			if sum.Seconds() > maxWork {
+				t.Fatalf("%v of work in the span from %v on, want at most %.1f s", sum, first.at-time.Minute, maxWork)
 			}
 		}
 	})
 }
 
-// TestShares: a customer's tokens gather for a second, and its share is divided among the controllers.
+// TestShares checks that a customer's tokens accumulate for up to one second, and that its rate is divided among the controllers.
 func TestShares(t *testing.T) {
 	l := New(Settings{Controllers: 2, Customers: []Customer{{"a", 8}, {"none", 0}}})
 	var lines []string
@@ -137,5 +139,5 @@
 		lines = append(lines, fmt.Sprintf("%4d ms  a %v, %v; none %v; unknown %v", (now-time.Minute).Milliseconds(),
 			l.Within(now, "a"), l.Within(now, "a"), l.Within(now, "none"), l.Within(now, "unknown")))
 	}
-	keep(t, lines)
+	compareGolden(t, lines)
 }
