--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -1,10 +1,10 @@
-// Package admission decides about connections from clients: whether a newcomer is let in, which one is asked to leave, and
-// when one may be ended. It does no I/O and asks no clock.
+// Package admission implements admission control for client connections: whether a new connection is accepted, which connection
+// is asked to leave, and when one may be closed. It does no I/O and reads no clock.
 //
-// Its promises: a connection is ended only while its host sees nothing unread, unsent or unanswered on it, or it never
-// ends what it began to say; one that is ended for its quiet was asked to leave before, and that word had left for a
-// time, unless places ran out at once; none is sent away before it had time to speak; there are never more connections
-// than places; a newcomer is turned away only when none of those inside could be ended.
+// It guarantees: a connection is closed only while its host sees nothing unread, unsent or unanswered on it, or if its client
+// does not complete a message; an idle connection is closed only some time after the request to leave was sent to it, unless its
+// place is needed for a new connection; no connection is closed before its client had time to send something; there are never
+// more connections than places; a new connection is refused only if none of the open ones can be closed.
 package admission
 
 import (
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// ConnID numbers connections in the order they came.
+// ConnID identifies a connection; ids ascend in the order in which connections arrive.
 type ConnID int64
 
-// State is what a host sees of a connection now.
+// State is the current state of a connection as its host sees it.
 type State struct {
-	Jobs   int           // open on it
-	Unsent bool          // bytes that are to leave, and have not
-	Half   time.Duration // for how long a message has been coming, or 0
+	Jobs   int           // jobs open on the connection
+	Unsent bool          // bytes are queued that have not been sent
+	Half   time.Duration // time since the start of a message that is not complete, 0 without one
 }
 
-func (s State) clear() bool { return s.Jobs == 0 && !s.Unsent && s.Half == 0 }
+func (s State) isIdle() bool { return s.Jobs == 0 && !s.Unsent && s.Half == 0 }
 
-// Host carries out what admission decides.
+// Host carries out the decisions of a Control.
 type Host interface {
 	State(ConnID) State
-	Unread(ConnID) bool // bytes that came were not taken in yet: a look into the kernel, so only before an end
-	AskToLeave(ConnID)  // no new job is wanted on it; Told follows once the word has left
-	End(ConnID, Why)    // at once: it is forgotten here with the call
-	Misread(ConnID)     // it began a message and does not end it: it is told, and Went follows
+	Unread(ConnID) bool // reports whether received bytes were not read yet; it asks the kernel, so it is called only before a close
+	AskToLeave(ConnID)  // asks the client to send no new job on the connection; the host calls Told once this has been sent
+	End(ConnID, Why)    // closes the connection at once; the Control forgets it with the call
+	Misread(ConnID)     // tells the client that its message was not completed; the host calls Went afterwards
 }
 
-// Why a connection was ended.
+// Why is the reason for which a connection was closed.
 type Why int
 
 const (
@@ -44,189 +44,196 @@
 
 func (w Why) String() string { return [...]string{"idle", "for a newcomer"}[w] }
 
-// Silent guards against connections that say nothing, or begin a message and do not end it; a client that has
-// something to ask sends it in a trip or two. idle is above the 4 s after which clients close by themselves, and front
-// for the connections on which the front asks. Times are those of the protocol, each with room for a slow machine.
+// Silent limits how long a connection may stay without a first message, or with an incomplete one; a client that has a request
+// sends it within one or two round trips. idleTimeout applies after the first message and is longer than the 4 s after which
+// clients close connections themselves. frontIdleTimeout applies to the front's connections, on which it asks whether the
+// controller is ready. The times are those of the protocol, each with a margin for a slow machine.
 const (
-	Silent = 2 * time.Second
-	idle   = 6 * time.Second
-	front  = time.Minute
+	Silent           = 2 * time.Second
+	idleTimeout      = 6 * time.Second
+	frontIdleTimeout = time.Minute
 )
 
-// linger is from when the word to leave has left to the end: many trips, so that a client that sent before it heard
-// has its job read and answered here. The protocol lets a client send again only once.
+// linger is the time from sending the request to leave until the close. It spans many round trips, so that a job which a client
+// sent before it received the request is read and answered here. The protocol lets a client send a job again only once.
 const linger = 100 * time.Millisecond
 
-// fresh is how long a connection that has said nothing is not sent away for others: its first job is on the way, a trip
-// behind it, or longer on a machine that is busy with hundreds of newcomers.
-const fresh = 250 * time.Millisecond
+// firstMessageGrace is how long a connection without a message is not closed in favor of another one: its first job arrives a
+// round trip after the connection, or later on a machine that is busy with hundreds of new connections.
+const firstMessageGrace = 250 * time.Millisecond
 
-// spare is the part of the places from which on newcomers have the quietest asked to leave. On the operators' long day
-// some seven a second come to 128 places to stay for good; an eighth, 16, takes in eight times what comes in the
-// quarter of a second that asking and lingering take.
-const spare = 8
+// spareDivisor sets how many places are kept free: once fewer than one in spareDivisor are free, each new connection has the
+// idlest one asked to leave. In the operators' scenario of a long day, about seven connections a second arrive for 128 places and
+// never close by themselves; an eighth of the places, 16, holds eight times what arrives in the quarter of a second that the
+// request and linger take.
+const spareDivisor = 8
 
-// conn is what admission knows of a connection.
+// conn is the record of an open connection.
 type conn struct {
-	id     ConnID
-	active time.Duration // when it came, and when a message last came or an answer went
-	spoke  bool          // a whole message has come
-	front  bool          // asked whether the controller is ready
-	asked  bool          // to leave
-	told   time.Duration // when that word had left, or 0
-	clear  bool          // nothing was on it at the last look since
+	id           ConnID
+	lastActive   time.Duration // time of the last message, of the last answer, or of the connection's arrival
+	hasMessage   bool          // a complete message has arrived
+	front        bool          // the client asked whether the controller is ready
+	askedToLeave bool          // the client was asked to leave
+	askedAt      time.Duration // when the request to leave was sent, or 0
+	seenIdle     bool          // the last sweep after that found nothing open, unread or unsent
 }
 
-// Control is the state for one controller.
+// Control holds the connections of one controller.
 type Control struct {
-	host  Host
-	most  int
-	conns []*conn // by id, so that no order depends on a map
+	host     Host
+	maxConns int
+	conns    []*conn // ascending by id, so that no order depends on a map
 }
 
-// New makes the control of so many places.
-func New(host Host, most int) *Control { return &Control{host: host, most: max(most, 1)} }
+// New returns a Control with the given number of places, at least 1.
+func New(host Host, maxConns int) *Control { return &Control{host: host, maxConns: max(maxConns, 1)} }
 
-// Most is the number of places.
-func (d *Control) Most() int { return d.most }
+// Most returns the maximum number of connections.
+func (c *Control) Most() int { return c.maxConns }
 
-// Open is the number of connections inside.
-func (d *Control) Open() int { return len(d.conns) }
+// Open returns the number of open connections.
+func (c *Control) Open() int { return len(c.conns) }
 
-func (d *Control) find(id ConnID) (at int, known bool) {
-	return slices.BinarySearchFunc(d.conns, id, func(k *conn, id ConnID) int { return cmp.Compare(k.id, id) })
+func (c *Control) find(id ConnID) (index int, found bool) {
+	return slices.BinarySearchFunc(c.conns, id, func(client *conn, id ConnID) int { return cmp.Compare(client.id, id) })
 }
 
-func (d *Control) get(id ConnID) *conn {
-	if at, known := d.find(id); known {
-		return d.conns[at]
+func (c *Control) lookup(id ConnID) *conn {
+	if index, found := c.find(id); found {
+		return c.conns[index]
 	}
 	return nil
 }
 
-// Came tells of a new connection and gives whether it is let in.
-func (d *Control) Came(now time.Duration, id ConnID) bool {
-	if len(d.conns) >= d.most && !d.makeRoom(now) {
+// Came handles a new connection and reports whether it is accepted. It may close another one to make room.
+func (c *Control) Came(now time.Duration, id ConnID) bool {
+	if len(c.conns) >= c.maxConns && !c.makeRoom(now) {
 		return false
 	}
-	if at, known := d.find(id); !known {
-		d.conns = slices.Insert(d.conns, at, &conn{id: id, active: now})
+	if index, found := c.find(id); !found {
+		c.conns = slices.Insert(c.conns, index, &conn{id: id, lastActive: now})
 	}
-	if len(d.conns) > d.most-max(d.most/spare, 1) {
-		if k := d.quietest(now, func(k *conn) bool { return !k.asked }); k != nil {
-			d.ask(k)
+	if len(c.conns) > c.maxConns-max(c.maxConns/spareDivisor, 1) {
+		if client := c.idlest(now, func(client *conn) bool { return !client.askedToLeave }); client != nil {
+			c.ask(client)
 		}
 	}
 	return true
 }
 
-// makeRoom guards newcomers against clients that keep their connections for good, or connect and say nothing. One that
-// has been asked to leave goes first; else that which would be ended next for its quiet.
-func (d *Control) makeRoom(now time.Duration) bool {
-	k := d.quietest(now, func(k *conn) bool { return k.told > 0 })
-	if k == nil {
-		k = d.quietest(now, func(*conn) bool { return true })
+// makeRoom closes a connection for a new one and reports whether it could, so that clients that never close their connections, or
+// connect and send nothing, can't keep others out. It prefers the idlest connection that was sent the request to leave, and
+// otherwise takes the one whose idle time would end next.
+func (c *Control) makeRoom(now time.Duration) bool {
+	client := c.idlest(now, func(client *conn) bool { return client.askedAt > 0 })
+	if client == nil {
+		client = c.idlest(now, func(*conn) bool { return true })
 	}
-	if k == nil {
+	if client == nil {
 		return false
 	}
-	d.end(k, ForNewcomer)
+	c.end(client, ForNewcomer)
 	return true
 }
 
-// quietest is the first to go for its quiet among those on which nothing is open, unread or unsent.
-func (d *Control) quietest(now time.Duration, of func(*conn) bool) *conn {
-	var from []*conn
-	for _, k := range d.conns {
-		if of(k) && (k.spoke || now >= k.active+fresh) {
-			from = append(from, k)
+// idlest returns the connection whose idle time ends first, among those that match and have nothing open, unread or unsent,
+// or nil if there is none.
+func (c *Control) idlest(now time.Duration, match func(*conn) bool) *conn {
+	var candidates []*conn
+	for _, client := range c.conns {
+		if match(client) && (client.hasMessage || now >= client.lastActive+firstMessageGrace) {
+			candidates = append(candidates, client)
 		}
 	}
-	slices.SortStableFunc(from, func(a, b *conn) int { return cmp.Compare(a.quietUntil(), b.quietUntil()) })
-	if at := slices.IndexFunc(from, func(k *conn) bool { return d.clear(k) }); at >= 0 {
-		return from[at]
+	slices.SortStableFunc(candidates, func(a, b *conn) int { return cmp.Compare(a.idleDeadline(), b.idleDeadline()) })
+	if index := slices.IndexFunc(candidates, func(client *conn) bool { return c.isIdle(client) }); index >= 0 {
+		return candidates[index]
 	}
 	return nil
 }
 
-func (d *Control) clear(k *conn) bool { return d.host.State(k.id).clear() && !d.host.Unread(k.id) }
+func (c *Control) isIdle(client *conn) bool {
+	return c.host.State(client.id).isIdle() && !c.host.Unread(client.id)
+}
 
-// quietUntil is how long a connection on which nothing is open may say nothing.
-func (k *conn) quietUntil() time.Duration {
+// idleDeadline returns the time at which the idle time of a connection ends that has nothing open.
+func (client *conn) idleDeadline() time.Duration {
 	switch {
-	case k.front:
-		return k.active + front
-	case k.spoke:
-		return k.active + idle
+	case client.front:
+		return client.lastActive + frontIdleTimeout
+	case client.hasMessage:
+		return client.lastActive + idleTimeout
 	}
-	return k.active + Silent
+	return client.lastActive + Silent
 }
 
-func (d *Control) ask(k *conn) {
-	k.asked, k.clear = true, false
-	d.host.AskToLeave(k.id)
+func (c *Control) ask(client *conn) {
+	client.askedToLeave, client.seenIdle = true, false
+	c.host.AskToLeave(client.id)
 }
 
-func (d *Control) end(k *conn, why Why) {
-	d.host.End(k.id, why)
-	d.Went(k.id)
+func (c *Control) end(client *conn, why Why) {
+	c.host.End(client.id, why)
+	c.Went(client.id)
 }
 
-// Heard tells of a whole message.
-func (d *Control) Heard(now time.Duration, id ConnID) {
-	if k := d.get(id); k != nil {
-		k.active, k.spoke, k.clear = now, true, false
+// Heard records that a complete message was received.
+func (c *Control) Heard(now time.Duration, id ConnID) {
+	if client := c.lookup(id); client != nil {
+		client.lastActive, client.hasMessage, client.seenIdle = now, true, false
 	}
 }
 
-// Front tells that the connection asked whether the controller is ready.
-func (d *Control) Front(now time.Duration, id ConnID) {
-	if d.Heard(now, id); d.get(id) != nil {
-		d.get(id).front = true
+// Front records a message that asks whether the controller is ready. Such a connection may stay idle longer.
+func (c *Control) Front(now time.Duration, id ConnID) {
+	if c.Heard(now, id); c.lookup(id) != nil {
+		c.lookup(id).front = true
 	}
 }
 
-// Answered tells of an answer that was queued.
-func (d *Control) Answered(now time.Duration, id ConnID) {
-	if k := d.get(id); k != nil {
-		k.active, k.clear = now, false
+// Answered records that an answer was queued on the connection.
+func (c *Control) Answered(now time.Duration, id ConnID) {
+	if client := c.lookup(id); client != nil {
+		client.lastActive, client.seenIdle = now, false
 	}
 }
 
-// Told tells that the word to leave has left.
-func (d *Control) Told(now time.Duration, id ConnID) {
-	if k := d.get(id); k != nil {
-		k.asked, k.told = true, now
+// Told records that the request to leave was sent.
+func (c *Control) Told(now time.Duration, id ConnID) {
+	if client := c.lookup(id); client != nil {
+		client.askedToLeave, client.askedAt = true, now
 	}
 }
 
-// Went tells that a connection is no more.
-func (d *Control) Went(id ConnID) {
-	if at, known := d.find(id); known {
-		d.conns = slices.Delete(d.conns, at, at+1)
+// Went forgets a connection that is closed.
+func (c *Control) Went(id ConnID) {
+	if index, found := c.find(id); found {
+		c.conns = slices.Delete(c.conns, index, index+1)
 	}
 }
 
-// Sweep looks at all connections; it is due several times in each of the times above. Two looks in a row must find
-// nothing on a connection that is ended: the first guards against the moment between the kernel and the reader.
-func (d *Control) Sweep(now time.Duration) {
-	for _, k := range slices.Clone(d.conns) {
-		s := d.host.State(k.id)
+// Sweep checks all connections: it reports incomplete messages, asks idle connections to leave, and closes those that were asked.
+// The host calls it several times within each of the times above. A connection is closed only if two sweeps in a row find
+// nothing on it, as bytes may be on their way from the kernel to the reader during the first.
+func (c *Control) Sweep(now time.Duration) {
+	for _, client := range slices.Clone(c.conns) {
+		state := c.host.State(client.id)
 		switch {
-		case s.Half > Silent:
-			if !d.host.Unread(k.id) { // or the rest is here, and was not read in a standstill
-				d.host.Misread(k.id)
+		case state.Half > Silent:
+			if !c.host.Unread(client.id) { // otherwise the rest has arrived, and was not read as the process was paused
+				c.host.Misread(client.id)
 			}
-		case !s.clear():
-			k.clear = false
-		case !k.asked:
-			if now > k.quietUntil() && !d.host.Unread(k.id) {
-				d.ask(k)
+		case !state.isIdle():
+			client.seenIdle = false
+		case !client.askedToLeave:
+			if now > client.idleDeadline() && !c.host.Unread(client.id) {
+				c.ask(client)
 			}
-		case k.told > 0 && now >= k.told+linger:
-			was := k.clear
-			if k.clear = !d.host.Unread(k.id); was && k.clear {
-				d.end(k, Idle)
+		case client.askedAt > 0 && now >= client.askedAt+linger:
+			wasIdle := client.seenIdle
+			if client.seenIdle = !c.host.Unread(client.id); wasIdle && client.seenIdle {
+				c.end(client, Idle)
 			}
 		}
 	}
--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-var updateTraces = flag.Bool("update", false, "write the traces anew, to be read before they are kept")
+var updateTraces = flag.Bool("update", false, "rewrite the golden traces; review the changes before committing them")
 
-// TestMain gives the property tests the same seed in each run; -rapid.seed looks further.
+// TestMain runs the property tests with a fixed seed; -rapid.seed selects another.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -23,83 +23,85 @@
 	os.Exit(m.Run())
 }
 
-// bench is a host with connections as they are, and prints what it is told.
-type bench struct {
-	d      *Control
-	now    time.Duration
-	states map[ConnID]*State
-	unread map[ConnID]bool
-	told   map[ConnID]time.Duration
-	full   bool // a newcomer is being let in
-	trace  strings.Builder
-	wrong  string
+// fakeHost is a fake Host. It holds the states of connections, traces all calls, and notes in violation a call that breaks a
+// guarantee.
+type fakeHost struct {
+	control    *Control
+	now        time.Duration
+	states     map[ConnID]*State
+	unread     map[ConnID]bool
+	askedAt    map[ConnID]time.Duration
+	placesFull bool // a new connection is arriving while all places are taken
+	trace      strings.Builder
+	violation  string
 }
 
-func newBench(most int) *bench {
-	h := &bench{states: map[ConnID]*State{}, unread: map[ConnID]bool{}, told: map[ConnID]time.Duration{}}
-	h.d = New(h, most)
+func newFakeHost(maxConns int) *fakeHost {
+	h := &fakeHost{states: map[ConnID]*State{}, unread: map[ConnID]bool{}, askedAt: map[ConnID]time.Duration{}}
+	h.control = New(h, maxConns)
 	return h
 }
 
-func (h *bench) say(format string, args ...any) {
+func (h *fakeHost) tracef(format string, args ...any) {
 	fmt.Fprintf(&h.trace, "%6d ms  %s\n", h.now.Milliseconds(), fmt.Sprintf(format, args...))
 }
 
-func (h *bench) State(id ConnID) State { return *h.states[id] }
-func (h *bench) Unread(id ConnID) bool { return h.unread[id] }
-func (h *bench) AskToLeave(id ConnID)  { h.say("asks %d to leave", id) }
-func (h *bench) Misread(id ConnID) {
-	h.say("%d does not end its message", id)
-	h.went(id)
+func (h *fakeHost) State(id ConnID) State { return *h.states[id] }
+func (h *fakeHost) Unread(id ConnID) bool { return h.unread[id] }
+func (h *fakeHost) AskToLeave(id ConnID)  { h.tracef("asks %d to leave", id) }
+func (h *fakeHost) Misread(id ConnID) {
+	h.tracef("%d does not end its message", id)
+	h.forget(id)
 }
 
-func (h *bench) End(id ConnID, why Why) {
-	h.say("ends %d: %v", id, why)
-	told, was := h.told[id]
+func (h *fakeHost) End(id ConnID, why Why) {
+	h.tracef("ends %d: %v", id, why)
+	askedAt, asked := h.askedAt[id]
 	switch s := h.states[id]; {
 	case s.Jobs > 0 || s.Unsent || s.Half > 0 || h.unread[id]:
-		h.wrong = fmt.Sprintf("ends %d with %+v, unread %v", id, *s, h.unread[id])
-	case why == Idle && (!was || h.now < told+linger):
-		h.wrong = fmt.Sprintf("ends %d before it heard", id)
-	case why == ForNewcomer && !h.d.get(id).spoke && h.now < h.d.get(id).active+fresh:
-		h.wrong = fmt.Sprintf("ends %d before it could speak", id)
-	case why == ForNewcomer && !h.full:
-		h.wrong = fmt.Sprintf("ends %d for nobody", id)
+		h.violation = fmt.Sprintf("ends %d with %+v, unread %v", id, *s, h.unread[id])
+	case why == Idle && (!asked || h.now < askedAt+linger):
+		h.violation = fmt.Sprintf("ends %d as idle before linger after the request to leave", id)
+	case why == ForNewcomer && !h.control.lookup(id).hasMessage && h.now < h.control.lookup(id).lastActive+firstMessageGrace:
+		h.violation = fmt.Sprintf("ends %d for a newcomer before its first message could arrive", id)
+	case why == ForNewcomer && !h.placesFull:
+		h.violation = fmt.Sprintf("ends %d for a newcomer although places are free", id)
 	}
-	h.went(id)
+	h.forget(id)
 }
 
-func (h *bench) went(id ConnID) {
+func (h *fakeHost) forget(id ConnID) {
 	delete(h.states, id)
 	delete(h.unread, id)
-	delete(h.told, id)
-	h.d.Went(id)
+	delete(h.askedAt, id)
+	h.control.Went(id)
 }
 
-func (h *bench) come(id ConnID) bool {
-	h.full = h.d.Open() == h.d.Most()
-	in := h.d.Came(h.now, id)
-	if h.full = false; in {
+func (h *fakeHost) connect(id ConnID) bool {
+	h.placesFull = h.control.Open() == h.control.Most()
+	accepted := h.control.Came(h.now, id)
+	if h.placesFull = false; accepted {
 		h.states[id] = &State{}
 	}
-	h.say("%d comes, let in: %v", id, in)
-	return in
+	h.tracef("%d comes, let in: %v", id, accepted)
+	return accepted
 }
 
-// wait lets time pass, with a sweep each tenth of a second.
-func (h *bench) wait(d time.Duration) {
-	for until := h.now + d; h.now < until; {
+// advance advances the time, with a sweep every 100 ms.
+func (h *fakeHost) advance(duration time.Duration) {
+	for until := h.now + duration; h.now < until; {
 		h.now += 100 * time.Millisecond
-		h.d.Sweep(h.now)
+		h.control.Sweep(h.now)
 	}
 }
 
-func (h *bench) tell(id ConnID) {
-	h.told[id] = h.now
-	h.d.Told(h.now, id)
+func (h *fakeHost) markAsked(id ConnID) {
+	h.askedAt[id] = h.now
+	h.control.Told(h.now, id)
 }
 
-func keep(t *testing.T, trace string) {
+// compareGolden compares a trace with the golden file of the test, or writes the file if -update is set.
+func compareGolden(t *testing.T, trace string) {
 	t.Helper()
 	file := filepath.Join("testdata", strings.TrimPrefix(t.Name(), "Test")+".txt")
 	if *updateTraces {
@@ -108,148 +110,151 @@
 		}
 	}
 	want, _ := os.ReadFile(file)
-	if d := cmp.Diff(string(want), trace); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(string(want), trace); diff != "" {
+		t.Error(diff)
 	}
 }
 
-// TestQuiet: one that never spoke, one that asked once, one of the front; one sends as it is about to be ended.
+// TestQuiet traces idle connections: one without any message, one with a single job, one of the front, one with an incomplete
+// message, and one whose client sends a job just before it would be closed.
 func TestQuiet(t *testing.T) {
-	h := newBench(8)
+	h := newFakeHost(8)
 	for id := range ConnID(5) {
-		h.come(id)
+		h.connect(id)
 	}
-	h.d.Heard(h.now, 1)
-	h.d.Front(h.now, 2)
-	h.d.Heard(h.now, 3)
+	h.control.Heard(h.now, 1)
+	h.control.Front(h.now, 2)
+	h.control.Heard(h.now, 3)
 	h.states[4].Half = Silent + 1
-	h.wait(2100 * time.Millisecond)
-	h.tell(0)
-	h.wait(200 * time.Millisecond)
+	h.advance(2100 * time.Millisecond)
+	h.markAsked(0)
+	h.advance(200 * time.Millisecond)
 	h.unread[3] = true
-	h.wait(4 * time.Second)
-	h.tell(1)
-	h.wait(100 * time.Millisecond)
-	h.say("1 sends a job between two looks")
+	h.advance(4 * time.Second)
+	h.markAsked(1)
+	h.advance(100 * time.Millisecond)
+	h.tracef("1 sends a job between two looks")
 	h.unread[1] = true
-	h.wait(time.Second)
-	h.say("1 has its answer, and 3 is read")
+	h.advance(time.Second)
+	h.tracef("1 has its answer, and 3 is read")
 	h.unread[1], h.unread[3] = false, false
-	h.d.Answered(h.now, 1)
-	h.d.Heard(h.now, 3)
-	h.wait(time.Second)
-	h.say("nothing for a minute")
-	h.tell(3)
-	h.wait(time.Minute)
-	keep(t, h.trace.String())
+	h.control.Answered(h.now, 1)
+	h.control.Heard(h.now, 3)
+	h.advance(time.Second)
+	h.tracef("nothing for a minute")
+	h.markAsked(3)
+	h.advance(time.Minute)
+	compareGolden(t, h.trace.String())
 }
 
-// TestNewcomers: eight places. The quietest are asked early, those that were go first, one that is busy never does.
+// TestNewcomers traces new connections at eight places. The idlest are asked to leave before the places run out, those that were
+// asked are closed first, and one that is busy is never closed.
 func TestNewcomers(t *testing.T) {
-	h := newBench(8)
+	h := newFakeHost(8)
 	for id := range ConnID(7) {
-		h.come(id)
-		h.d.Heard(h.now, id)
+		h.connect(id)
+		h.control.Heard(h.now, id)
 		h.now += 10 * time.Millisecond
 	}
 	h.states[0].Jobs = 1
 	h.unread[1] = true
 	h.states[2].Unsent = true
-	h.come(7)
+	h.connect(7)
 	h.now += 10 * time.Millisecond
-	h.tell(4)
-	h.come(8)
-	h.come(9)
-	h.now += fresh
-	h.come(10)
-	h.say("all that are left send")
+	h.markAsked(4)
+	h.connect(8)
+	h.connect(9)
+	h.now += firstMessageGrace
+	h.connect(10)
+	h.tracef("all that are left send")
 	for id := range h.states {
 		h.unread[id] = true
 	}
-	h.come(11)
-	keep(t, h.trace.String())
+	h.connect(11)
+	compareGolden(t, h.trace.String())
 }
 
-// TestKeepsItsPromises drives it with anything at all.
+// TestKeepsItsPromises checks the guarantees of the package under random calls and states.
 func TestKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newBench(rapid.IntRange(1, 9).Draw(t, "places"))
+		h := newFakeHost(rapid.IntRange(1, 9).Draw(t, "places"))
 		next := ConnID(0)
-		some := func() (ConnID, *State) {
+		pick := func() (ConnID, *State) {
 			id := ConnID(rapid.Int64Range(0, int64(next)).Draw(t, "id"))
 			return id, h.states[id]
 		}
 		for range 120 {
 			h.now += time.Duration(rapid.SampledFrom([]int{0, 1, 50, 100, 2500, 7000}).Draw(t, "ms")) * time.Millisecond
-			id, s := some()
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what <= 2:
+			id, s := pick()
+			switch event := rapid.IntRange(0, 9).Draw(t, "what"); {
+			case event <= 2:
 				busy := 0
 				for id, s := range h.states {
-					if k := h.d.get(id); !s.clear() || h.unread[id] || !k.spoke && h.now < k.active+fresh {
+					if client := h.control.lookup(id); !s.isIdle() || h.unread[id] || !client.hasMessage && h.now < client.lastActive+firstMessageGrace {
 						busy++
 					}
 				}
 				next++
-				if in := h.come(next); !in && busy < h.d.Most() {
-					t.Fatal("turned away beside one that is clear\n", h.trace.String())
+				if accepted := h.connect(next); !accepted && busy < h.control.Most() {
+					t.Fatal("refused although a connection could be closed\n", h.trace.String())
 				}
-			case what == 3:
-				h.d.Sweep(h.now)
+			case event == 3:
+				h.control.Sweep(h.now)
 			case s == nil:
-			case what == 4:
-				h.d.Heard(h.now, id)
+			case event == 4:
+				h.control.Heard(h.now, id)
 				s.Jobs = rapid.IntRange(0, 1).Draw(t, "jobs")
-			case what == 5:
+			case event == 5:
 				h.unread[id] = rapid.Bool().Draw(t, "unread")
-			case what == 6:
+			case event == 6:
 				s.Unsent = rapid.Bool().Draw(t, "unsent")
-			case what == 7:
+			case event == 7:
 				s.Half = time.Duration(rapid.IntRange(0, 3).Draw(t, "half")) * time.Second
-			case what == 8:
-				h.tell(id)
+			case event == 8:
+				h.markAsked(id)
 			default:
-				h.went(id)
+				h.forget(id)
 			}
-			if h.wrong != "" || h.d.Open() > h.d.Most() || h.d.Open() != len(h.states) {
-				t.Fatal(h.wrong, h.d.Open(), len(h.states), "\n", h.trace.String())
+			if h.violation != "" || h.control.Open() > h.control.Most() || h.control.Open() != len(h.states) {
+				t.Fatal(h.violation, h.control.Open(), len(h.states), "\n", h.trace.String())
 			}
 		}
 	})
 }
 
-// TestQuietEnds: whatever happened before, a connection on which nothing comes any more ends in bounded time.
+// TestQuietEnds checks that a connection on which nothing more arrives is closed in bounded time, whatever happened before.
 func TestQuietEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newBench(4)
-		h.come(1)
+		h := newFakeHost(4)
+		h.connect(1)
 		for range rapid.IntRange(0, 8).Draw(t, "events") {
 			h.now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				h.d.Heard(h.now, 1)
+				h.control.Heard(h.now, 1)
 			case 1:
-				h.d.Answered(h.now, 1)
+				h.control.Answered(h.now, 1)
 			default:
-				h.d.Sweep(h.now)
+				h.control.Sweep(h.now)
 			}
 		}
-		for end := h.now + idle + linger + 400*time.Millisecond; h.now < end; {
-			h.wait(100 * time.Millisecond)
-			if k := h.d.get(1); k != nil && k.asked && k.told == 0 {
-				h.tell(1)
+		for end := h.now + idleTimeout + linger + 400*time.Millisecond; h.now < end; {
+			h.advance(100 * time.Millisecond)
+			if client := h.control.lookup(1); client != nil && client.askedToLeave && client.askedAt == 0 {
+				h.markAsked(1)
 			}
 		}
-		if h.d.Open() > 0 {
-			t.Fatal("still open\n", h.trace.String())
+		if h.control.Open() > 0 {
+			t.Fatal("the connection is still open\n", h.trace.String())
 		}
 	})
 }
 
-// TestExit: the usual way out, a job that comes late, a standstill across the last moment, and one that never ends.
+// TestExit traces an exit with nothing open, with a job that arrives late, with a pause of the process beyond the last moment, and
+// with a job that never ends.
 func TestExit(t *testing.T) {
 	var trace strings.Builder
-	for _, c := range []struct {
+	for _, scenario := range []struct {
 		name  string
 		round func(x *Exit, now time.Duration) (standstill time.Duration, owed int)
 	}{
@@ -277,9 +282,9 @@
 		first, last := 700*time.Millisecond, 1500*time.Millisecond
 		x := NewExit(first, last)
 		x.JobCame(first - 10*time.Millisecond)
-		fmt.Fprintf(&trace, "%s\n", c.name)
+		fmt.Fprintf(&trace, "%s\n", scenario.name)
 		for now := first; ; {
-			stands, owed := c.round(x, now)
+			pause, owed := scenario.round(x, now)
 			cut, end, next := x.Round(now, owed)
 			if cut {
 				fmt.Fprintf(&trace, "%6d ms  cut\n", now.Milliseconds())
@@ -288,8 +293,8 @@
 				fmt.Fprintf(&trace, "%6d ms  end, owed %d\n", now.Milliseconds(), owed)
 				break
 			}
-			now = next + stands
+			now = next + pause
 		}
 	}
-	keep(t, trace.String())
+	compareGolden(t, trace.String())
 }
--- a/decide/admission/exit.go
+++ b/decide/admission/exit.go
@@ -2,61 +2,65 @@
 
 import "time"
 
-// Exit decides when a process that was told to stop may end: as soon as nothing is owed and nothing comes any more,
-// and in time before it is killed. A process that stood still has to wait anew, as what came meanwhile lies unread,
-// connections that nobody accepted yet among it.
+// Exit decides when a process that was told to stop may exit: as soon as nothing is owed and no more jobs arrive, and early
+// enough not to be killed. A process that was paused starts this wait again, as what arrived during the pause is still unread,
+// including connections that were not accepted yet.
 type Exit struct {
-	last    time.Duration // what is open then is cut
-	came    time.Duration // when a job last came, or the process last stood still
-	planned time.Duration // when the next round is due
-	passed  bool          // a late round has found the last moment over
-	after   int           // rounds on time since the cut, or -1 before it
+	cutAt          time.Duration // when all open jobs are cut off
+	lastArrival    time.Duration // when the last job arrived or the last pause of the process was noticed
+	nextRound      time.Duration // when the next round is due
+	cutTimePassed  bool          // a late round has found that cutAt has passed
+	roundsAfterCut int           // number of punctual rounds since the cut, -1 before it
 }
 
-// roundEvery is fine against the wait; stoodStill is far above how late a round is on a machine that keeps up.
-const roundEvery, stoodStill = 10 * time.Millisecond, 20 * time.Millisecond
+// roundInterval is short compared with quietTime. A round that is late by more than pauseThreshold shows that the process was
+// paused; on a machine that keeps up, rounds are late by far less.
+const roundInterval, pauseThreshold = 10 * time.Millisecond, 20 * time.Millisecond
 
-// lastJobs is how long no job has come when the process ends: many trips of the word that it leaves.
-const lastJobs = 100 * time.Millisecond
+// quietTime is how long no job must have arrived before the process exits: many times what the notice of its exit takes to
+// reach clients.
+const quietTime = 100 * time.Millisecond
 
-// cutRounds are for the answers of jobs that were cut to leave, counted in rounds that were on time: a machine that
-// stood still past the last moment still needs them.
+// cutRounds is the number of rounds in which the answers to cut jobs are sent. Only punctual rounds count, as a process that was
+// paused beyond cutAt still needs that time.
 const cutRounds = 10
 
-// NewExit begins with a first round at a time; what is open at the last moment is cut.
-func NewExit(first, last time.Duration) *Exit { return &Exit{last: last, planned: first, after: -1} }
+// NewExit returns an Exit whose first round is due at first, and which cuts all open jobs at cutAt.
+func NewExit(first, cutAt time.Duration) *Exit {
+	return &Exit{cutAt: cutAt, nextRound: first, roundsAfterCut: -1}
+}
 
-// beforeCut is from the last deadline of a job to the cut: a few rounds, so that each is answered by what its class allows
-// and not just cut, also where a round is late.
-const beforeCut = 50 * time.Millisecond
+// cutMargin is the time from the latest deadline of a job to the cut. It spans a few rounds, so that each job is answered as its
+// class allows instead of being cut, even if a round is late.
+const cutMargin = 50 * time.Millisecond
 
-// Last is the latest deadline of a job.
-func (x *Exit) Last() time.Duration { return x.last - beforeCut }
+// Last returns the latest deadline that a job may have.
+func (x *Exit) Last() time.Duration { return x.cutAt - cutMargin }
 
-// JobCame tells of a job, taken or turned away.
-func (x *Exit) JobCame(now time.Duration) { x.came = max(x.came, now) }
+// JobCame records that a job arrived, whether it was accepted or refused.
+func (x *Exit) JobCame(now time.Duration) { x.lastArrival = max(x.lastArrival, now) }
 
-// Round tells what is owed: jobs open, and connections with something unread or unsent. It gives whether all that is
-// open is to be cut now, whether the process may end, and when the next round is due.
+// Round is called when a round is due. owed is the number of open jobs plus the connections with something unread or unsent. It
+// returns whether to cut all open jobs now, whether the process may exit, and when the next round is due.
 func (x *Exit) Round(now time.Duration, owed int) (cut, end bool, next time.Duration) {
-	late := now > x.planned+stoodStill
+	late := now > x.nextRound+pauseThreshold
 	if late {
-		x.came = now
+		x.lastArrival = now
 	}
 	switch {
-	case x.after >= 0:
+	case x.roundsAfterCut >= 0:
 		if !late {
-			x.after++
+			x.roundsAfterCut++
 		}
-	case now >= x.last && late && !x.passed:
-		// Guards the jobs that were open in a standstill past the last moment: their deadlines are due now, and what came for
-		// them lies unread. One round lets them be answered by what their classes allow, as beforeCut does on a machine that
+	case now >= x.cutAt && late && !x.cutTimePassed:
+		// The process was paused beyond cutAt: the deadlines of open jobs are due now, and what arrived for them
+		// is unread. One more round lets them be answered as their classes allow, as cutMargin does on a machine that
 		// keeps up.
-		x.passed = true
-	case now >= x.last:
-		x.after, cut = 0, true
+		x.cutTimePassed = true
+	case now >= x.cutAt:
+		x.roundsAfterCut, cut = 0, true
 	}
-	end = !cut && (owed == 0 && now >= x.came+lastJobs || x.after >= cutRounds)
-	x.planned = now + roundEvery
-	return cut, end, x.planned
+	end = !cut && (owed == 0 && now >= x.lastArrival+quietTime || x.roundsAfterCut >= cutRounds)
+	x.nextRound = now + roundInterval
+	return cut, end, x.nextRound
 }
