--- a/decide/invariant/invariant.go
+++ b/decide/invariant/invariant.go
@@ -1,59 +1,59 @@
-// Package invariant states what a controller never does, whatever decided it: which job it may send, send again, answer, and
-// which connection or process it may end. The controller asks it before it acts where the answer can still stop the act, and
-// after the act where only then the facts are known. It does no I/O and asks no clock; times are whole nanoseconds of one clock
-// that only moves forward.
+// Package invariant checks the rules that a controller must never break, whichever component made the decision: which job it may
+// send, send again or answer, and which connection or process it may end. The controller calls a check before an action where
+// the result can still prevent it, and afterwards where the facts are known only then. The package does no I/O and reads no
+// clock; times are whole nanoseconds of one monotonic clock.
 //
-// Its promise: each function depends on its arguments alone, and on nothing that the decision itself was made of, so that a
-// decision that goes wrong is found. The rules are those of the operators' protocol.
+// It guarantees that each function depends on its arguments alone, and on none of the state on which the decision was based, so
+// that wrong decisions are found. The rules are those of the operators' protocol.
 package invariant
 
 import "time"
 
-// Violation is a way in which a rule was broken.
+// Violation identifies a broken rule, or None.
 type Violation int
 
-// The violations, by what the controller did.
+// The violations, named by what the controller did.
 const (
 	None               Violation = iota
-	SentAfterClient              // an attempt left after its client had gone
-	SentAfterDrain               // an attempt left after its engine had left and the grace had passed
-	SentPastDeadline             // an attempt left when its time was over
-	RepeatedUnsafe               // a job went again that may have run and must not run twice
-	RepeatedPastWindow           // a keyed job went again outside the window of its key
-	RepeatedElsewhere            // a keyed job went again outside the group that knows its key
-	TwoAttempts                  // a job had two attempts out
-	AnsweredOverdue              // an answer came later than its job's time and the protocol's half second
-	ClosedWithJobs               // a connection was closed with jobs open on it, through no fault of its client
-	EndedWithJobs                // the process ended with jobs open
-	violations
+	SentAfterClient              // an attempt was sent after its client had left
+	SentAfterDrain               // an attempt was sent to a draining engine after the grace period
+	SentPastDeadline             // an attempt was sent after its deadline
+	RepeatedUnsafe               // a job was sent again that may have run and must not run twice
+	RepeatedPastWindow           // a keyed job was sent again after the window of its key
+	RepeatedElsewhere            // a keyed job was sent again to an engine outside the group that knows its key
+	TwoAttempts                  // a job had two attempts in flight
+	AnsweredOverdue              // an answer was sent later than half a second, as the protocol allows, after its job's deadline
+	ClosedWithJobs               // a connection with open jobs was closed although its client was not at fault
+	EndedWithJobs                // the process ended with open jobs
+	violationCount
 )
 
-// Count is the number of violations, for counters by violation.
-const Count = int(violations)
+// Count is the number of values of Violation, including None. It is the length of an array of counters by violation.
+const Count = int(violationCount)
 
-var names = [Count]string{"none", "sent_after_client", "sent_after_drain", "sent_past_deadline", "repeated_unsafe",
+var violationNames = [Count]string{"none", "sent_after_client", "sent_after_drain", "sent_past_deadline", "repeated_unsafe",
 	"repeated_past_window", "repeated_elsewhere", "two_attempts", "answered_overdue", "closed_with_jobs", "ended_with_jobs"}
 
-// String is the violation's name in counters and logs.
-func (v Violation) String() string { return names[v] }
+// String returns the violation's name in counters and logs.
+func (v Violation) String() string { return violationNames[v] }
 
-// clientGrace is how long after a client has gone an attempt may begin, and answerGrace how long after its time an answer may
-// come: figures of the operators' pages.
+// clientGrace is how long after its client has left an attempt may still be sent. answerGrace is how long after the deadline of a
+// job its answer may still be sent. Both values are from the operators' pages.
 const (
 	clientGrace = 100 * time.Millisecond
 	answerGrace = 500 * time.Millisecond
 )
 
-// Send is what is known of an attempt whose bytes have left.
+// Send describes an attempt that was sent.
 type Send struct {
-	Left       time.Duration // when its first byte left
-	ClientGone time.Duration // when its client was known to have gone, 0 for not
-	Drained    time.Duration // when its engine was told to take nothing new, 0 for not
-	Grace      time.Duration // in which that has to be acted on
-	Deadline   time.Duration // of the attempt
+	Left       time.Duration // when the first byte of the attempt was sent
+	ClientGone time.Duration // when the controller learned that the client had left, 0 if it has not
+	Drained    time.Duration // when the engine was told to accept no new jobs, 0 if it was not
+	Grace      time.Duration // time allowed for acting on Drained
+	Deadline   time.Duration // deadline of the attempt
 }
 
-// Check tells which rule an attempt broke by leaving.
+// Check returns the rule that the attempt broke when it was sent, or None.
 func (s Send) Check() Violation {
 	switch {
 	case s.ClientGone > 0 && s.Left > s.ClientGone+clientGrace:
@@ -66,50 +66,50 @@
 	return None
 }
 
-// Effect is what running a job twice does.
+// Effect is the consequence of running a job twice.
 type Effect int
 
-// The effects, as the settings have them.
+// The effects, as in the settings.
 const (
 	Harmless   Effect = iota
-	KnownByKey        // engines drop a repeat of a key that they know
+	KnownByKey        // engines discard a job that repeats a key they know
 	Harmful
 )
 
-// Group is where a key is known.
+// Group is the set of engines among which a key is known.
 type Group int
 
-// The groups, as the settings have them.
+// The groups, as in the settings.
 const (
 	Everywhere Group = iota
 	InLocation
 	InCell
 )
 
-// Place is where an engine stands.
+// Place is the location and cell of an engine.
 type Place struct {
 	Location string
 	Cell     int64
 }
 
-// Ran is an earlier attempt of a job that may have run: its end proves nothing else.
+// Ran is an earlier attempt of a job that may have run, as its outcome does not prove that it did not.
 type Ran struct {
 	Sent time.Duration
 	At   Place
 }
 
-// Repeat is a job that is about to have an attempt.
+// Repeat describes an attempt of a job, its first or a later one, that is about to be sent.
 type Repeat struct {
 	Now    time.Duration
-	Out    bool  // another attempt is out
-	Ran    []Ran // the earliest first
+	Out    bool  // another attempt is in flight
+	Ran    []Ran // earlier attempts that may have run, the earliest first
 	Effect Effect
 	Group  Group
-	Window time.Duration // in which a key is known, from the earliest attempt
+	Window time.Duration // time for which a key is known, counted from the earliest attempt
 	To     Place
 }
 
-// Check tells which rule the attempt would break.
+// Check returns the rule that the attempt would break, or None.
 func (r Repeat) Check() Violation {
 	switch {
 	case r.Out:
@@ -129,7 +129,7 @@
 	return None
 }
 
-// Answer tells which rule an answer breaks that leaves now, for a job whose client waits until a deadline.
+// Answer returns the rule that an answer sent now breaks, or None. deadline is the time until which the client waits.
 func Answer(now, deadline time.Duration) Violation {
 	if now > deadline+answerGrace {
 		return AnsweredOverdue
@@ -137,8 +137,8 @@
 	return None
 }
 
-// Close tells which rule it breaks to end a connection with so many jobs open; clientsFault is where its client has broken the
-// protocol or takes nothing in.
+// Close returns the rule that closing a connection breaks, or None. jobs is the number of jobs open on the connection, and
+// clientsFault is whether the client broke the protocol or does not read.
 func Close(jobs int, clientsFault bool) Violation {
 	if jobs > 0 && !clientsFault {
 		return ClosedWithJobs
@@ -146,7 +146,7 @@
 	return None
 }
 
-// End tells which rule it breaks to end the process with so many jobs without an answer.
+// End returns the rule that ending the process breaks, or None. jobs is the number of jobs without an answer.
 func End(jobs int) Violation {
 	if jobs > 0 {
 		return EndedWithJobs
--- a/decide/invariant/invariant_test.go
+++ b/decide/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// TestSend: an attempt that left in time, and each way to leave too late.
+// TestSend checks an attempt that was sent in time, and each way in which one can be sent too late.
 func TestSend(t *testing.T) {
 	good := Send{Left: 1000 * ms, ClientGone: 900 * ms, Drained: 500 * ms, Grace: 500 * ms, Deadline: 1000 * ms}
 	for want, change := range map[Violation]func(*Send){
@@ -21,12 +21,12 @@
 			t.Errorf("%+v: %v, wanted %v", s, s.Check(), want)
 		}
 	}
-	if v := (Send{Left: time.Hour, Deadline: time.Hour}).Check(); v != None { // client and engine are there
+	if v := (Send{Left: time.Hour, Deadline: time.Hour}).Check(); v != None { // the client has not left and the engine is not draining
 		t.Error(v)
 	}
 }
 
-// TestRepeat: what may go again, by what running twice does.
+// TestRepeat checks which jobs may be sent again, by the effect of running them twice.
 func TestRepeat(t *testing.T) {
 	here, there := Place{"a", 1}, Place{"b", 2}
 	ran := []Ran{{100 * ms, here}, {200 * ms, here}}
@@ -50,16 +50,16 @@
 	}
 }
 
-// TestEnds: answers, connections and processes.
+// TestEnds checks the rules about late answers, closed connections and the end of the process, and the names of violations.
 func TestEnds(t *testing.T) {
 	if Answer(1500*ms, 1000*ms) != None || Answer(1501*ms, 1000*ms) != AnsweredOverdue {
-		t.Error("answer")
+		t.Error("wrong result of Answer")
 	}
 	if Close(0, false) != None || Close(1, true) != None || Close(1, false) != ClosedWithJobs {
-		t.Error("close")
+		t.Error("wrong result of Close")
 	}
 	if End(0) != None || End(1) != EndedWithJobs {
-		t.Error("end")
+		t.Error("wrong result of End")
 	}
 	for v := range Count {
 		if Violation(v).String() == "" {
