--- a/decide/watch/started.go
+++ b/decide/watch/started.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// Started gives when an engine started, by a clock of the controller that no step of the wall clock moves. born is what discovery
-// tells, by its wall clock, 0 for long ago; now and wall are the controller's clock and the wall clock as its word is first heard.
-// The engine's age then, taken once, is what counts from there on: a step before the engine's start or after that word changes
-// nothing. One between the two, or clocks that differ, falsify the age by as much; below 0 it counts as 0, which is the careful side,
-// as an engine that has just started gets least.
+// Started returns when an engine started, by the controller's monotonic clock. born is the start time that discovery reports, by
+// the wall clock, or 0 if it is long ago, for which Started returns 0. now and wall are the controller's monotonic clock and its
+// wall clock when it first receives that report.
+//
+// The engine's age is computed once, at that time. A step of the wall clock before the engine's start or after the report
+// therefore has no effect. A step between the two, or clocks that differ, make the age wrong by as much. A negative age counts as
+// 0, which is the safe side, as an engine that has just started is sent least.
 func Started(now, wall, born time.Duration) time.Duration {
 	if born == 0 {
 		return 0
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -1,71 +1,73 @@
-// Package watch decides how often and how patiently a controller asks for the list of engines: what follows from the grace
-// in which a drain has to be acted on. It does no I/O and asks no clock.
+// Package watch computes the timeouts and retry delays with which a controller asks discovery for the list of engines. They follow
+// from the grace period within which a controller must act on a drain. The package does no I/O and reads no clock.
 //
-// Its promise: a drain that is told at any moment of a watch that says nothing more is heard within the grace, as long as a
-// connection, a call and its answer take no longer than Left of it.
+// It guarantees that a drain is noticed within the grace period even if it is announced during a watch that never returns, as
+// long as a new connection, a call and its answer together take no longer than Pace.Reserve.
 package watch
 
 import "time"
 
-// Pace is what the times of discovery are.
+// Pace holds the timeouts and delays of calls to discovery.
 type Pace struct {
-	Wait   time.Duration // a call is held by discovery at the most
-	Slack  time.Duration // behind that its answer is late, and another connection is asked beside it
-	Redial time.Duration // a connection that is not up by then has another one tried beside it
-	Pause  time.Duration // between tries while discovery is away, at the most
+	Wait   time.Duration // maximum time for which discovery holds a call (long polling)
+	Slack  time.Duration // time after Wait at which an answer is late; another connection is then asked in parallel
+	Redial time.Duration // time after which another connection is dialed in parallel to one that is not up yet
+	Pause  time.Duration // maximum delay between attempts while discovery is unavailable
 }
 
-// Untold is the grace where the settings tell none: that of the deployments that did.
-const Untold = 2 * time.Second
+// DefaultGrace is the grace period if the settings have none. It is the value of the deployments that set one.
+const DefaultGrace = 2 * time.Second
 
-// Of the grace, calls are held for three fifths: shorter ones cost discovery more, longer ones leave no room for a second
-// look. What a call costs is not told, so none is shorter than the grace needs. Three twentieths are many trips of an answer;
-// a quarter is left for the second look.
-const waitPart, slackPart, leftPart = 0.60, 0.15, 0.25
+// Fractions of the grace period. Calls are held for three fifths of it: shorter calls cost discovery more, longer ones leave no
+// time for a second attempt. The cost of a call is not known, so calls are no shorter than the grace period requires. An answer
+// may be late by three twentieths, which is many round trips. A quarter remains for the second attempt.
+const waitFraction, slackFraction, reserveFraction = 0.60, 0.15, 0.25
 
-// longestWait bounds the age of the list where the grace is long: calls of a second in the mean.
-const longestWait = 4 * time.Second / 3
+// maxWait bounds the age of the list if the grace period is long. Calls then last a second on average.
+const maxWait = 4 * time.Second / 3
 
-// longestPause keeps the calls of a fleet whose discovery is away at two a second and controller where the grace allows it.
-const longestPause = 400 * time.Millisecond
+// maxPause limits the calls of a fleet whose discovery is unavailable to about two a second for each controller, if the grace
+// period allows it.
+const maxPause = 400 * time.Millisecond
 
-// For gives the times for a grace, 0 for one that is not told.
+// For returns the Pace for a grace period; 0 or less means DefaultGrace.
 func For(grace time.Duration) Pace {
 	if grace <= 0 {
-		grace = Untold
+		grace = DefaultGrace
 	}
-	part := func(of float64) time.Duration { return time.Duration(of * float64(grace)) }
-	return Pace{Wait: min(part(waitPart), longestWait), Slack: part(slackPart), Redial: part(leftPart / 2),
-		Pause: min(part(leftPart*0.8), longestPause)}
+	ofGrace := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
+	return Pace{Wait: min(ofGrace(waitFraction), maxWait), Slack: ofGrace(slackFraction), Redial: ofGrace(reserveFraction / 2),
+		Pause: min(ofGrace(reserveFraction*0.8), maxPause)}
 }
 
-// Left is what a second look may take.
-func (p Pace) Left(grace time.Duration) time.Duration { return grace - p.Wait - p.Slack }
+// Reserve returns the part of the grace period that remains for a second attempt after a call that was not answered.
+func (p Pace) Reserve(grace time.Duration) time.Duration { return grace - p.Wait - p.Slack }
 
-// longestArrival bounds how long the bytes of one answer are waited for while they keep coming.
-const longestArrival = 5 * time.Second
+// maxArrival limits how long an answer may take whose bytes keep arriving.
+const maxArrival = 5 * time.Second
 
-// Arriving tells whether an answer whose first bytes came so long ago, 0 for none, and whose last came so long ago, is on its way.
+// Arriving reports whether an answer is still being received. since is the time since its first bytes arrived, 0 if none have, and
+// quiet is the time since its last bytes arrived.
 func (p Pace) Arriving(since, quiet time.Duration) bool {
-	return since > 0 && since < longestArrival && quiet < p.Slack
+	return since > 0 && since < maxArrival && quiet < p.Slack
 }
 
-// Calls paces the calls that answers lead to. Where one change after the other is told, each would be a call of its own, and a
-// list of thousands changes hundreds of times a second.
+// Calls limits the rate of the calls that follow answers. Discovery answers a call at each change, and a list of thousands of
+// engines changes hundreds of times a second.
 type Calls struct {
-	ahead time.Duration // the time that the calls so far take up
+	usedUntil time.Duration // time up to which the calls so far use the rate
 }
 
-// A third of the slack, a twentieth of the grace, is what a call takes up once burst of them have been made at once: a change
-// waits for so long at most, beside what a call takes.
+// After a burst of calls at once, calls are at least a third of Pace.Slack apart, a twentieth of the grace period. A change waits
+// at most that long, in addition to the duration of a call.
 const (
 	callsPerSlack = 3
-	burst         = 10
+	burstCalls    = 10
 )
 
-// Next counts a call and tells how long it has to wait.
+// Next counts a call and returns how long to wait before making it.
 func (c *Calls) Next(now time.Duration, pace Pace) (wait time.Duration) {
-	each := pace.Slack / callsPerSlack
-	c.ahead = max(c.ahead, now-burst*each) + each
-	return max(c.ahead-now, 0)
+	interval := pace.Slack / callsPerSlack
+	c.usedUntil = max(c.usedUntil, now-burstCalls*interval) + interval
+	return max(c.usedUntil-now, 0)
 }
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -7,29 +7,29 @@
 	"pgregory.net/rapid"
 )
 
-// TestHeardInTime: for any grace, a watch that falls silent just as it begins leaves the promised part of it for the second
-// look, and a pause between tries fits there too.
+// TestHeardInTime checks for any grace period that a call which is never answered leaves the guaranteed part of it for a second
+// attempt, and that the delay between attempts fits into that part.
 func TestHeardInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "grace"))
-		p := For(grace)
-		if left := p.Left(grace); left < time.Duration(0.249*float64(grace)) {
-			t.Errorf("%v left of %v", left, grace)
+		pace := For(grace)
+		if reserve := pace.Reserve(grace); reserve < time.Duration(0.249*float64(grace)) {
+			t.Errorf("%v of the grace period %v left for a second attempt", reserve, grace)
 		}
-		if p.Wait > longestWait || p.Pause > longestPause || 2*p.Redial > p.Left(grace) || p.Pause > p.Left(grace) {
-			t.Errorf("%+v for %v", p, grace)
+		if pace.Wait > maxWait || pace.Pause > maxPause || 2*pace.Redial > pace.Reserve(grace) || pace.Pause > pace.Reserve(grace) {
+			t.Errorf("%+v for the grace period %v", pace, grace)
 		}
 	})
 }
 
-// TestFigures: what the grace of the deployments makes of it.
+// TestFigures checks the values for several grace periods.
 func TestFigures(t *testing.T) {
 	const ms = time.Millisecond
 	for grace, want := range map[time.Duration]Pace{
 		0:           {1200 * ms, 300 * ms, 250 * ms, 400 * ms},
 		2000 * ms:   {1200 * ms, 300 * ms, 250 * ms, 400 * ms},
 		250 * ms:    {150 * ms, 37500 * time.Microsecond, 31250 * time.Microsecond, 50 * ms},
-		10000 * ms:  {longestWait, 1500 * ms, 1250 * ms, 400 * ms},
+		10000 * ms:  {maxWait, 1500 * ms, 1250 * ms, 400 * ms},
 		time.Second: {600 * ms, 150 * ms, 125 * ms, 200 * ms},
 	} {
 		if got := For(grace); got != want {
@@ -38,38 +38,38 @@
 	}
 }
 
-// TestCalls: a few calls go at once, and more of them not faster than their rate, whether each is answered at once or not; after a
-// quiet time a few go at once again.
+// TestCalls checks that a burst of calls is made at once and further ones no faster than the rate allows, and that after a quiet
+// period another burst is made at once.
 func TestCalls(t *testing.T) {
-	p := For(2 * time.Second)
+	pace := For(2 * time.Second)
 	var calls Calls
-	now, made := time.Hour, 0
-	for end := now + 4*time.Second; now < end; made++ {
-		wait := calls.Next(now, p)
-		if wait > p.Slack/callsPerSlack {
-			t.Fatalf("waits %v", wait)
+	now, callCount := time.Hour, 0
+	for end := now + 4*time.Second; now < end; callCount++ {
+		wait := calls.Next(now, pace)
+		if wait > pace.Slack/callsPerSlack {
+			t.Fatalf("a call waits %v", wait)
 		}
 		now += wait
 	}
-	if most := burst + 41; made > most {
-		t.Errorf("%d calls in four seconds, %d at most", made, most)
+	if maxCalls := burstCalls + 41; callCount > maxCalls {
+		t.Errorf("%d calls in four seconds, want at most %d", callCount, maxCalls)
 	}
 	now += 2 * time.Second
-	for range burst {
-		if wait := calls.Next(now, p); wait > 0 {
-			t.Errorf("waits %v after a quiet time", wait)
+	for range burstCalls {
+		if wait := calls.Next(now, pace); wait > 0 {
+			t.Errorf("a call waits %v after a quiet period", wait)
 		}
 	}
 }
 
-// TestArriving: an answer is on its way while its bytes come, and not for ever.
+// TestArriving checks that an answer counts as being received while its bytes arrive, but not forever.
 func TestArriving(t *testing.T) {
-	p := For(2 * time.Second)
+	pace := For(2 * time.Second)
 	for _, c := range []struct {
 		since, quiet time.Duration
-		is           bool
-	}{{0, 0, false}, {time.Second, p.Slack / 2, true}, {time.Second, p.Slack, false}, {longestArrival, 0, false}} {
-		if p.Arriving(c.since, c.quiet) != c.is {
+		want         bool
+	}{{0, 0, false}, {time.Second, pace.Slack / 2, true}, {time.Second, pace.Slack, false}, {maxArrival, 0, false}} {
+		if pace.Arriving(c.since, c.quiet) != c.want {
 			t.Error(c)
 		}
 	}
