--- a/decide/thin/thin.go
+++ b/decide/thin/thin.go
@@ -1,11 +1,11 @@
-// Package thin tells how slow each engine is from the few answers that one controller of a large fleet gets from it. An
-// engine's own answers are pooled with those of engines alike (of its location and kind) and with all; how much of each
-// counts follows from what is seen: where engines differ little against the noise of single answers, the many stand for the
-// one, and where one differs it is told apart after a few answers. It does no I/O and asks no clock.
+// Package thin estimates how slow each engine is from sparse data, as one controller of a large fleet gets only few answers from
+// each engine. An engine's own answers are pooled with those of similar engines (same location and kind) and of all engines. The
+// weights follow from the observed variances: if engines differ little compared with the noise of single answers, the estimate
+// relies on the pooled answers; an engine that does differ is recognized after a few answers. It does no I/O and reads no clock.
 //
-// Slowness is a latency over the best one, 1 and up. Its promise, tested against the two plain ways (own answers alone, all
-// together) and against a fixed weight: in calm, with one engine in eight slow, and with a slow location, its error is near
-// that of whichever is best there.
+// Slowness is a latency divided by the best latency, so 1 or more. Tests compare the estimate with an engine's own mean, the mean
+// of all engines and a pooled estimate of fixed weight: if all engines are alike, if one in eight is slow, and if one location
+// is slow, the error is close to that of the best of these.
 package thin
 
 import (
@@ -18,108 +18,113 @@
 	Kind     string
 )
 
-// Book is what one controller knows of all engines.
+// Book holds the estimates of one controller for all engines.
 type Book struct {
-	alike map[likeness]*group
-	all   mean
-	noise mean // squared, of a single answer against its engine's mean
-	apart mean // squared, of an engine's mean against those alike
-	rooms mean // squared, of those alike against all
+	groups         map[groupKey]*group
+	overall        mean
+	noiseVariance  mean // variance of single answers around their engine's mean
+	engineVariance mean // variance of engines' means around the mean of similar engines
+	groupVariance  mean // variance of the means of similar engines around the mean of all
 }
 
-type likeness struct {
+type groupKey struct {
 	location Location
 	kind     Kind
 }
 
-type group struct{ slow mean }
+type group struct{ slowness mean }
 
-// mean is a running mean that starts with plain averaging.
-type mean struct{ value, n float64 }
+// mean is a running mean: an arithmetic mean at first, then an exponentially weighted one.
+type mean struct{ value, samples float64 }
 
-func (m *mean) add(x, most float64) {
-	m.n = math.Min(m.n+1, most)
-	m.value += (x - m.value) / m.n
+// add adds a sample. The number of samples that count is limited to the given maximum.
+func (m *mean) add(sample, maxSamples float64) {
+	m.samples = math.Min(m.samples+1, maxSamples)
+	m.value += (sample - m.value) / m.samples
 }
 
-// New gives an empty book.
-func New() *Book { return &Book{alike: map[likeness]*group{}} }
+// New returns an empty Book.
+func New() *Book { return &Book{groups: map[groupKey]*group{}} }
 
-// Engine is what is known of one.
+// Engine estimates the slowness of one engine.
 type Engine struct {
-	book *Book
-	like *group
-	slow mean
-	at   time.Duration // of the last answer
+	book       *Book
+	group      *group
+	slowness   mean
+	lastAnswer time.Duration // time of the last answer
 }
 
-// Engine begins a page for one. Groups are as many as locations times kinds.
+// Engine returns an Engine without answers. There are at most as many groups of similar engines as locations times kinds.
 func (b *Book) Engine(location Location, kind Kind) *Engine {
-	key := likeness{location, kind}
-	if b.alike[key] == nil {
-		b.alike[key] = &group{}
+	key := groupKey{location, kind}
+	if b.groups[key] == nil {
+		b.groups[key] = &group{}
 	}
-	return &Engine{book: b, like: b.alike[key]}
+	return &Engine{book: b, group: b.groups[key]}
 }
 
-// An engine's mean spans about a limit's worth of its answers; those over many engines are quick, as congestion of the
-// fleet has to be seen soon; what tells them apart is learned over a minute of a busy controller's answers.
-const ownSpan, manySpan, learnSpan = 20, 10, 300
-
-// fade is the time in which what an engine's own answers told loses all but a third of its weight: an engine that is avoided
-// is not judged by it for ever.
-const fade = 10 * time.Second
-
-// Answered takes an answer's slowness.
-func (e *Engine) Answered(now time.Duration, slow float64) {
-	b := e.book
-	n := e.weight(now)
-	if n >= 1 {
-		off := slow - e.slow.value
-		b.noise.add(off*off*n/(n+1), learnSpan)
+// Numbers of samples that the running means span. An engine's own mean spans about as many answers as its concurrency limit; means
+// over many engines span fewer, as congestion of the fleet must be noticed quickly; the variances span a minute of a busy
+// controller's answers.
+const ownSamples, pooledSamples, varianceSamples = 20, 10, 300
+
+// fadeTime is the time constant with which an engine's own answers lose weight, to about a third after this time: an engine that
+// gets no jobs because it was slow is not judged by old answers forever.
+const fadeTime = 10 * time.Second
+
+// Answered adds the slowness of an answer that arrived now.
+func (e *Engine) Answered(now time.Duration, slowness float64) {
+	book := e.book
+	ownWeight := e.ownWeight(now)
+	if ownWeight >= 1 {
+		deviation := slowness - e.slowness.value
+		book.noiseVariance.add(deviation*deviation*ownWeight/(ownWeight+1), varianceSamples)
 	}
-	e.slow.n = n
-	e.slow.add(slow, ownSpan)
-	e.like.slow.add(slow, manySpan)
-	b.all.add(slow, manySpan)
-	e.at = now
-	if e.slow.n >= 2 && b.noise.n > 0 { // the noise that is left in a mean is no difference
-		b.apart.add(square(e.slow.value-e.like.slow.value)-b.noise.value*(1/e.slow.n+1/e.like.slow.n), learnSpan)
-		b.rooms.add(square(e.like.slow.value-b.all.value)-b.noise.value/e.like.slow.n, learnSpan)
+	e.slowness.samples = ownWeight
+	e.slowness.add(slowness, ownSamples)
+	e.group.slowness.add(slowness, pooledSamples)
+	book.overall.add(slowness, pooledSamples)
+	e.lastAnswer = now
+	if e.slowness.samples >= 2 && book.noiseVariance.samples > 0 { // the noise remaining in the means is subtracted
+		book.engineVariance.add(square(e.slowness.value-e.group.slowness.value)-
+			book.noiseVariance.value*(1/e.slowness.samples+1/e.group.slowness.samples), varianceSamples)
+		book.groupVariance.add(square(e.group.slowness.value-book.overall.value)-book.noiseVariance.value/e.group.slowness.samples, varianceSamples)
 	}
 }
 
 func square(x float64) float64 { return x * x }
 
-// Anew forgets an engine's own answers, as its process is another.
-func (e *Engine) Anew() { e.slow = mean{} }
+// Anew discards the engine's own answers. It is called when the engine's process was replaced.
+func (e *Engine) Anew() { e.slowness = mean{} }
 
-func (e *Engine) weight(now time.Duration) float64 {
-	return e.slow.n * math.Exp(float64(e.at-now)/float64(fade))
+// ownWeight returns the number of own answers that still count now.
+func (e *Engine) ownWeight(now time.Duration) float64 {
+	return e.slowness.samples * math.Exp(float64(e.lastAnswer-now)/float64(fadeTime))
 }
 
-// usual is how many answers of one's own weigh as much as those of the many until there is more to go by, and the bounds of
-// what is learned: with all alike an engine's own answers still count a little, or none would ever be told apart, and with
-// all different the many still guard against a single odd answer.
-const usual, least, most = 3, 1, 12
+// Weight of the pooled answers, as a number of own answers. defaultPoolWeight applies until enough samples have been seen;
+// minPoolWeight and maxPoolWeight bound the learned value. If all engines are alike, an engine's own answers must still count a
+// little, or a difference would never be noticed; if all differ, the pooled answers still guard against a single outlier.
+const defaultPoolWeight, minPoolWeight, maxPoolWeight = 3, 1, 12
 
-// pooled is how many of one's own answers the others' weigh as much as.
-func pooled(noise, apart mean) float64 {
-	if apart.n < 10 {
-		return usual
+// poolWeight returns how many own answers the pooled answers weigh as much as: the variance of single answers divided by the
+// variance between engines, within bounds.
+func poolWeight(noiseVariance, variance mean) float64 {
+	if variance.samples < 10 {
+		return defaultPoolWeight
 	}
-	return math.Min(math.Max(noise.value/math.Max(apart.value, 1e-9), least), most)
+	return math.Min(math.Max(noiseVariance.value/math.Max(variance.value, 1e-9), minPoolWeight), maxPoolWeight)
 }
 
-// Slow is how slow the engine is now, by all that is known; 0 while nothing is.
+// Slow returns the estimated slowness of the engine now, or 0 if the Book has no answers yet.
 func (e *Engine) Slow(now time.Duration) float64 {
-	b := e.book
-	if b.all.n == 0 {
+	book := e.book
+	if book.overall.samples == 0 {
 		return 0
 	}
-	k := pooled(b.noise, b.rooms)
-	like := (e.like.slow.n*e.like.slow.value + k*b.all.value) / (e.like.slow.n + k)
-	k = pooled(b.noise, b.apart)
-	n := e.weight(now)
-	return (n*e.slow.value + k*like) / (n + k)
+	prior := poolWeight(book.noiseVariance, book.groupVariance)
+	groupMean := (e.group.slowness.samples*e.group.slowness.value + prior*book.overall.value) / (e.group.slowness.samples + prior)
+	prior = poolWeight(book.noiseVariance, book.engineVariance)
+	ownWeight := e.ownWeight(now)
+	return (ownWeight*e.slowness.value + prior*groupMean) / (ownWeight + prior)
 }
