--- a/decide/spread/apart.go
+++ b/decide/spread/apart.go
@@ -6,48 +6,53 @@
 	"time"
 )
 
-// Apart spreads over time what one cause has all controllers of a fleet do: calls for the list that one event answered
-// together, tries after discovery went away, first tries of an engine that failed them all. What is drawn depends on the seed
-// alone; a place in a span follows from number and count, so that the places of a fleet are even though nobody talks.
+// Apart computes jittered delays, so that the controllers of a fleet do not all act at the same time after a common event: calls
+// for the list of engines that one event answered together, retries when discovery is unavailable, and the first attempts at an
+// engine that failed for all of them. Random delays depend on the seed alone. A place in a time span follows from the
+// controller's number and their count, so that the places of a fleet are even without communication.
 type Apart struct {
-	rng    *rand.Rand
-	number int
-	fleet  int
+	rng         *rand.Rand
+	number      int
+	controllers int
 }
 
-// NewApart is for one of so many controllers, by its number from 0.
+// NewApart returns an Apart for the controller with the given number, counted from 0, of the given number of controllers.
 func NewApart(controllers, number int, seed int64) *Apart {
-	return &Apart{rng: rand.New(rand.NewSource(seed)), number: max(number, 0), fleet: max(controllers, 1)}
+	return &Apart{rng: rand.New(rand.NewSource(seed)), number: max(number, 0), controllers: max(controllers, 1)}
 }
 
-// Place is where in a span this controller comes: the places of all lie evenly in it, those of neighbours by number far
-// apart, so that any part of the fleet is spread as well. A controller alone comes at once.
+// Place returns this controller's offset into a span. The offsets of all controllers lie evenly in it, and those of controllers
+// with neighboring numbers lie far apart, so that any part of the fleet is spread as well. A single controller has offset 0.
 func (a *Apart) Place(span time.Duration) time.Duration {
-	if a.fleet == 1 {
+	if a.controllers == 1 {
 		return 0
 	}
-	_, at := math.Modf(float64(a.number) * math.Phi)
-	return time.Duration(at * float64(span))
+	_, fraction := math.Modf(float64(a.number) * math.Phi)
+	return time.Duration(fraction * float64(span))
 }
 
-// pollLeast of the longest wait: drawn between it and the whole, three quarters in the mean. A fleet that one event answered
-// together is spread over a quarter of a call's time after one round, and evenly after some four.
-const pollLeast = 0.5
+// minPollFraction is the minimum wait of a call as a fraction of the longest wait. Waits are random between the two, three
+// quarters of the longest on average. The calls of a fleet that one event answered together are spread over a quarter of a call's
+// duration after one round, and evenly after about four.
+const minPollFraction = 0.5
 
-// Poll is how long a call for what is newer waits at discovery, at most so long.
+// Poll returns a random time for which discovery may hold a call for a newer list, between minPollFraction of the longest time
+// and all of it.
 func (a *Apart) Poll(longest time.Duration) time.Duration {
-	return time.Duration((pollLeast + (1-pollLeast)*a.rng.Float64()) * float64(longest))
+	return time.Duration((minPollFraction + (1-minPollFraction)*a.rng.Float64()) * float64(longest))
 }
 
-// A first try soon, as one lost connection is mostly an accident; then waits that double.
-const firstPause = 50 * time.Millisecond
+// firstBackoff is the delay before the first retry. It is short, as a single lost connection is mostly an accident; later delays
+// double.
+const firstBackoff = 50 * time.Millisecond
 
-// Again is the pause before the next try after so many failures in a row, from 1, up to a longest one (decide/watch): drawn
-// from half of it to one and a half.
+// Again returns the backoff before the next attempt after the given number of failures in a row, counted from 1. It doubles up to
+// longest (decide/watch), which applies from the fourth failure on, and is random between half of that delay and one and a half
+// times of it.
 func (a *Apart) Again(failures int, longest time.Duration) time.Duration {
-	pause := longest
+	backoff := longest
 	if failures < 4 {
-		pause = min(firstPause<<max(failures-1, 0), longest)
+		backoff = min(firstBackoff<<max(failures-1, 0), longest)
 	}
-	return pause/2 + time.Duration(a.rng.Int63n(max(int64(pause), 1)))
+	return backoff/2 + time.Duration(a.rng.Int63n(max(int64(backoff), 1)))
 }
--- a/decide/spread/apart_test.go
+++ b/decide/spread/apart_test.go
@@ -9,36 +9,36 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlaces: the places of a fleet, and of any run of neighbours in it, lie evenly in the span.
+// TestPlaces checks that the offsets of a fleet, and of any controllers with consecutive numbers, lie evenly in the span.
 func TestPlaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(2, 400).Draw(t, "fleet")
-		from, many := rapid.IntRange(0, fleet-1).Draw(t, "from"), rapid.IntRange(1, fleet).Draw(t, "many")
+		from, count := rapid.IntRange(0, fleet-1).Draw(t, "from"), rapid.IntRange(1, fleet).Draw(t, "many")
 		var places []float64
-		for n := from; n < min(from+many, fleet); n++ {
-			at := NewApart(fleet, n, int64(n)).Place(time.Second)
-			if at < 0 || at >= time.Second {
-				t.Fatal(n, at)
+		for n := from; n < min(from+count, fleet); n++ {
+			offset := NewApart(fleet, n, int64(n)).Place(time.Second)
+			if offset < 0 || offset >= time.Second {
+				t.Fatal(n, offset)
 			}
-			places = append(places, at.Seconds())
+			places = append(places, offset.Seconds())
 		}
 		slices.Sort(places)
-		for n, at := range places { // the golden ratio leaves no gap of over 2.2 shares, the borders taken in
+		for n, offset := range places { // the golden ratio keeps gaps below 2.2 times the mean, also across the ends
 			gap := places[0] + 1 - places[len(places)-1]
 			if n > 0 {
-				gap = at - places[n-1]
+				gap = offset - places[n-1]
 			}
 			if len(places) > 1 && gap > 2.2/float64(len(places)) {
-				t.Fatalf("%d places from %d on: a gap of %.4f", len(places), from, gap)
+				t.Fatalf("offsets of %d controllers from number %d on have a gap of %.4f s", len(places), from, gap)
 			}
 		}
 	})
 }
 
-// TestPolls: 300 controllers that one event answered at the same instant; the most calls in 50 ms over their mean, by
-// seconds after it, with waits that are drawn and with waits that are all the same.
+// TestPolls guards against 300 controllers calling in step after one event answered all of them at the same time. For each second
+// after it, it compares the most calls in 50 ms with the mean, for random waits and for waits of the same length.
 func TestPolls(t *testing.T) {
-	surge := func(wait func(a *Apart) time.Duration) (by [6]float64) {
+	peaks := func(wait func(a *Apart) time.Duration) (by [6]float64) {
 		counts := make([]float64, 6*20)
 		for n := range 300 {
 			a := NewApart(300, n, int64(n))
@@ -55,16 +55,16 @@
 		}
 		return by
 	}
-	drawn := surge(func(a *Apart) time.Duration { return a.Poll(4 * time.Second / 3) })
-	same := surge(func(*Apart) time.Duration { return time.Second })
-	t.Logf("drawn %.1f, the same %.1f", drawn, same)
-	if drawn[1] > 4 || drawn[4] > 2 || same[4] < 15 {
-		t.Errorf("drawn %.1f, the same %.1f", drawn, same)
+	random := peaks(func(a *Apart) time.Duration { return a.Poll(4 * time.Second / 3) })
+	equal := peaks(func(*Apart) time.Duration { return time.Second })
+	t.Logf("peak over mean by second: random waits %.1f, equal waits %.1f", random, equal)
+	if random[1] > 4 || random[4] > 2 || equal[4] < 15 {
+		t.Errorf("peak over mean by second: random waits %.1f, equal waits %.1f", random, equal)
 	}
 }
 
-// TestAgain: the pauses of a fleet whose discovery is away ask for no more calls than quiet times do three times over, and are
-// within the grace of a drain.
+// TestAgain checks that the retries of a fleet whose discovery is unavailable are no more than about three times its calls in quiet
+// times, and that the delays are within the grace period of a drain.
 func TestAgain(t *testing.T) {
 	calls, length := 0, 10*time.Second
 	for n := range 300 {
@@ -79,6 +79,6 @@
 		}
 	}
 	if rate := float64(calls) / 300 / length.Seconds(); math.Abs(rate-2.6) > 0.3 {
-		t.Error(rate, "calls a second and controller")
+		t.Error(rate, "calls a second for each controller, want about 2.6")
 	}
 }
--- a/decide/spread/deal.go
+++ b/decide/spread/deal.go
@@ -1,11 +1,12 @@
-// Package spread decides in which order a controller has engines for its subset, so that a fleet whose controllers do not
-// talk uses all engines alike. It knows a controller's number, how many there are, and the list. It does no I/O and asks
-// no clock.
+// Package spread assigns subsets of the engines to controllers, so that a fleet whose controllers do not communicate uses all
+// engines evenly. The assignment follows from a controller's number, the number of controllers and the list of engines. It also
+// spreads actions of controllers over time (Apart). It does no I/O and reads no clock.
 //
-// Its promises, for controllers that hold the same list and deal subsets of the same size: every engine is in those of the
-// same number of controllers, within one, or to as many as its part of all capacity; no controller has an engine twice; a
-// controller's subset follows the engines over locations; a change of one engine moves little beside its own. A smaller subset
-// is the first of it, and a larger one goes on with the engines behind, both by chance of each controller's own.
+// It guarantees, for controllers with the same list and the same size of subsets: every engine is in the subsets of the same
+// number of controllers, within one, or of a number in proportion to its capacity; no controller has an engine twice; the engines
+// of a subset are distributed over locations like all engines; a change of one engine moves few engines of subsets other than
+// that engine. A smaller subset consists of the first engines of an order, and a larger one continues with the engines after
+// them, in a pseudorandom order that differs by controller.
 package spread
 
 import (
@@ -20,14 +21,14 @@
 	Location string
 )
 
-// Engine is one of the list that takes jobs.
+// Engine is an engine of the list that accepts jobs.
 type Engine struct {
 	ID       EngineID
 	Location Location
-	Capacity float64 // against the others', as in cores; 0 counts as 1
+	Capacity float64 // relative to the other engines, for example in cores; 0 counts as 1
 }
 
-// mix spreads the bits of a number: the finalizer of splitmix64, as published.
+// mix hashes a number with the published finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -35,227 +36,234 @@
 	return x ^ x>>31
 }
 
-// key is a number of an id.
-func key(id EngineID) uint64 {
+// engineKey returns the hash of an id.
+func engineKey(id EngineID) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // which never fails
+	_, _ = h.Write([]byte(id)) // Write of a hash never fails
 	return mix(h.Sum64())
 }
 
-// Order gives the engines in the order in which one of so many controllers has them for its subset. So many of them are dealt
-// for the whole fleet, as what one may take hangs on what the others do: a fraction of a millisecond for hundreds of
-// controllers, some for thousands, once for a list.
-func Order(engines []Engine, controllers, number, dealt int) []EngineID {
-	d := deal(engines, controllers, dealt)
-	if number < 0 || number >= len(d.hands) {
+// Order returns all engines in the order in which the controller with the given number, counted from 0, includes them in its
+// subset. The first ones are its subset of the assigned size. Order computes the subsets of the whole fleet, as they depend on
+// each other: this takes a fraction of a millisecond for hundreds of controllers and a few milliseconds for thousands, once for
+// each list. It returns nil for a number out of range.
+func Order(engines []Engine, controllers, number, subsetSize int) []EngineID {
+	a := assign(engines, controllers, subsetSize)
+	if number < 0 || number >= len(a.subsets) {
 		return nil
 	}
-	ranks := make([]uint64, len(d.engines))
-	own, rest := d.hands[number], make([]int, 0, len(d.engines))
+	ranks := make([]uint64, len(a.engines))
+	subset, others := a.subsets[number], make([]int, 0, len(a.engines))
 	salt := mix(uint64(number))
-	for e := range d.engines {
-		if ranks[e] = d.rank(salt, e); !d.has[number].has(e) {
-			rest = append(rest, e)
+	for e := range a.engines {
+		if ranks[e] = a.rank(salt, e); !a.members[number].has(e) {
+			others = append(others, e)
 		}
 	}
 	byRank := func(a, b int) int { return cmp.Compare(ranks[b], ranks[a]) }
-	slices.SortFunc(own, byRank)
-	slices.SortFunc(rest, byRank)
-	ids := make([]EngineID, 0, len(d.engines))
-	for _, e := range slices.Concat(own, rest) {
-		ids = append(ids, d.engines[e].ID)
+	slices.SortFunc(subset, byRank)
+	slices.SortFunc(others, byRank)
+	ids := make([]EngineID, 0, len(a.engines))
+	for _, e := range slices.Concat(subset, others) {
+		ids = append(ids, a.engines[e].ID)
 	}
 	return ids
 }
 
-// dealing is under way for one list.
-type dealing struct {
-	engines []Engine // in an order of their own, by key
-	keys    []uint64
-	weights []float64 // capacities, the mean being 1
-	rooms   [][]int   // engines by location, locations by name
-	weight  []float64 // of each room
-	hands   [][]int   // subsets by controller
-	left    []int     // controllers that an engine still takes
-	has     []set     // the same as hands
-	first   [][][]int // by controller and room, those that it ranks highest, of which those before are taken
-	keep    int       // so many of them are kept
+// assignment is the assignment of subsets for one list of engines. Engines, locations and controllers are referred to by index.
+type assignment struct {
+	engines         []Engine // ascending by key
+	keys            []uint64
+	weights         []float64 // capacities divided by their mean
+	locations       [][]int   // engines of each location; locations ascending by name
+	locationWeights []float64 // total weight of each location
+	subsets         [][]int   // subset of each controller
+	remaining       []int     // for each engine, number of controllers still to be assigned
+	members         []bitset  // the subsets as sets
+	ranked          [][][]int // by controller and location, its highest ranked engines that it has not tried yet
+	rankedLen       int       // length of these lists
 }
 
-// set is of engines, by number.
-type set []uint64
+// bitset is a bit set of engines.
+type bitset []uint64
 
-func newSet(most int) set { return make(set, (most+63)/64) }
+func newBitset(size int) bitset { return make(bitset, (size+63)/64) }
 
-func (s set) has(e int) bool { return s[e/64]&(1<<(e%64)) != 0 }
-func (s set) add(e int)      { s[e/64] |= 1 << (e % 64) }
-func (s set) remove(e int)   { s[e/64] &^= 1 << (e % 64) }
+func (s bitset) has(e int) bool { return s[e/64]&(1<<(e%64)) != 0 }
+func (s bitset) add(e int)      { s[e/64] |= 1 << (e % 64) }
+func (s bitset) remove(e int)   { s[e/64] &^= 1 << (e % 64) }
 
-func deal(list []Engine, controllers, size int) *dealing {
-	d := &dealing{hands: make([][]int, max(controllers, 1))}
-	d.sortByKey(list)
-	byRoom := map[Location][]int{}
-	d.weigh()
-	for n, e := range d.engines {
-		byRoom[e.Location] = append(byRoom[e.Location], n)
+// assign assigns a subset of the given size to each controller.
+func assign(list []Engine, controllers, size int) *assignment {
+	a := &assignment{subsets: make([][]int, max(controllers, 1))}
+	a.sortByKey(list)
+	byLocation := map[Location][]int{}
+	a.setWeights()
+	for n, e := range a.engines {
+		byLocation[e.Location] = append(byLocation[e.Location], n)
 	}
 	var names []Location
-	for name := range byRoom {
+	for name := range byLocation {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		d.rooms = append(d.rooms, byRoom[name])
+		a.locations = append(a.locations, byLocation[name])
 		sum := 0.0
-		for _, e := range byRoom[name] {
-			sum += d.weights[e]
+		for _, e := range byLocation[name] {
+			sum += a.weights[e]
 		}
-		d.weight = append(d.weight, sum)
+		a.locationWeights = append(a.locationWeights, sum)
 	}
-	size = min(max(size, 0), len(d.engines))
-	d.keep = size/max(len(d.rooms), 1) + keptMore
-	d.first, d.has = make([][][]int, len(d.hands)), make([]set, len(d.hands))
-	for k := range d.has {
-		d.has[k] = newSet(len(d.engines))
+	size = min(max(size, 0), len(a.engines))
+	a.rankedLen = size/max(len(a.locations), 1) + extraRanked
+	a.ranked, a.members = make([][][]int, len(a.subsets)), make([]bitset, len(a.subsets))
+	for controller := range a.members {
+		a.members[controller] = newBitset(len(a.engines))
 	}
-	d.allow(size * len(d.hands))
-	// Rounds, and not always in the same order, so that the last controllers are not left with what all others passed over.
+	a.setRemaining(size * len(a.subsets))
+	// In each round every controller gets one engine. Rounds alternate in order, so that the last controllers are not always
+	// left with the engines that no other one chose.
 	for round := range size {
-		for n := range d.hands {
-			k := n
+		for n := range a.subsets {
+			controller := n
 			if round%2 == 1 {
-				k = len(d.hands) - 1 - n
+				controller = len(a.subsets) - 1 - n
 			}
-			d.take(k, d.room(k, round, size))
+			a.assignNext(controller, a.locationFor(controller, round, size))
 		}
 	}
-	return d
+	return a
 }
 
-// sortByKey has the engines in the order of their keys, each once.
-func (d *dealing) sortByKey(list []Engine) {
+// sortByKey sets the engines and their keys, ascending by key and without duplicates.
+func (a *assignment) sortByKey(list []Engine) {
 	type keyed struct {
 		key uint64
 		Engine
 	}
 	all := make([]keyed, len(list))
 	for n, e := range list {
-		all[n] = keyed{key(e.ID), e}
+		all[n] = keyed{engineKey(e.ID), e}
 	}
 	slices.SortFunc(all, func(a, b keyed) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.ID, b.ID)) })
 	for n, e := range all {
 		if n > 0 && e.ID == all[n-1].ID {
 			continue
 		}
-		d.engines, d.keys = append(d.engines, e.Engine), append(d.keys, e.key)
+		a.engines, a.keys = append(a.engines, e.Engine), append(a.keys, e.key)
 	}
 }
 
-func (d *dealing) weigh() {
+// setWeights sets the weights of the engines: their capacities divided by the mean capacity.
+func (a *assignment) setWeights() {
 	sum := 0.0
-	for _, e := range d.engines {
-		d.weights = append(d.weights, cmp.Or(math.Max(e.Capacity, 0), 1))
-		sum += d.weights[len(d.weights)-1]
+	for _, e := range a.engines {
+		a.weights = append(a.weights, cmp.Or(math.Max(e.Capacity, 0), 1))
+		sum += a.weights[len(a.weights)-1]
 	}
-	for n := range d.weights {
-		d.weights[n] *= float64(len(d.engines)) / sum
+	for n := range a.weights {
+		a.weights[n] *= float64(len(a.engines)) / sum
 	}
 }
 
-// allow gives each engine its number of controllers: shares by capacity, but none more controllers than there are, and what
-// is left over to those whose share was cut most, of equals to the first by key, the rooms in turn.
-func (d *dealing) allow(total int) {
-	d.left = make([]int, len(d.engines))
-	var turns []int
-	for turn := 0; len(turns) < len(d.engines); turn++ {
-		for _, room := range d.rooms {
-			if turn < len(room) {
-				turns = append(turns, room[turn])
+// setRemaining sets the number of controllers of each engine, in proportion to capacity but never above the number of
+// controllers. The fractions lost by rounding down go to the engines that lost most; among equals to those first by key,
+// alternating between locations.
+func (a *assignment) setRemaining(total int) {
+	a.remaining = make([]int, len(a.engines))
+	var order []int
+	for turn := 0; len(order) < len(a.engines); turn++ {
+		for _, location := range a.locations {
+			if turn < len(location) {
+				order = append(order, location[turn])
 			}
 		}
 	}
-	share := make([]float64, len(d.engines))
+	shares := make([]float64, len(a.engines))
 	for {
-		left, weight := float64(total), 0.0
-		for e := range share {
-			if share[e] = float64(len(d.hands)); d.left[e] < 0 { // has all controllers
-				left -= share[e]
+		unassigned, weight := float64(total), 0.0
+		for e := range shares {
+			if shares[e] = float64(len(a.subsets)); a.remaining[e] < 0 { // in the subsets of all controllers
+				unassigned -= shares[e]
 			} else {
-				weight += d.weights[e]
+				weight += a.weights[e]
 			}
 		}
-		full := false
-		for e := range share {
-			if d.left[e] < 0 {
+		capped := false
+		for e := range shares {
+			if a.remaining[e] < 0 {
 				continue
 			}
-			if share[e] = left * d.weights[e] / weight; share[e] >= float64(len(d.hands)) {
-				share[e], d.left[e], full = float64(len(d.hands)), -1, true
+			if shares[e] = unassigned * a.weights[e] / weight; shares[e] >= float64(len(a.subsets)) {
+				shares[e], a.remaining[e], capped = float64(len(a.subsets)), -1, true
 			}
 		}
-		if !full {
+		if !capped {
 			break
 		}
 	}
-	for e := range share {
-		d.left[e] = int(share[e] + 1e-9) // shares that should be whole may lie a hair under it
-		share[e] -= float64(d.left[e])
-		total -= d.left[e]
+	for e := range shares {
+		a.remaining[e] = int(shares[e] + 1e-9) // corrects for rounding errors in shares that should be whole numbers
+		shares[e] -= float64(a.remaining[e])
+		total -= a.remaining[e]
 	}
-	slices.SortStableFunc(turns, func(a, b int) int {
-		if math.Abs(share[a]-share[b]) < 1e-9 {
+	slices.SortStableFunc(order, func(a, b int) int {
+		if math.Abs(shares[a]-shares[b]) < 1e-9 {
 			return 0
 		}
-		return cmp.Compare(share[b], share[a])
+		return cmp.Compare(shares[b], shares[a])
 	})
-	for _, e := range turns {
-		if total > 0 && d.left[e] < len(d.hands) {
-			d.left[e]++
+	for _, e := range order {
+		if total > 0 && a.remaining[e] < len(a.subsets) {
+			a.remaining[e]++
 			total--
 		}
 	}
 }
 
-// room gives the location of a controller's next engine: its subset stands in equal steps along the line of all engines, from
-// a place of its own on. The places are spread by the golden ratio, evenly for any number of controllers.
-func (d *dealing) room(k, round, size int) int {
-	_, start := math.Modf(float64(k) * math.Phi)
-	at := (float64(round) + start) / float64(size) * float64(len(d.engines))
-	for r, weight := range d.weight {
-		if at -= weight; at < 0 {
-			return r
+// locationFor returns the location from which a controller takes its next engine. The engines of a subset lie at equal steps
+// along the sequence of all engines, from a start that differs by controller. The starts are spread by the golden ratio, so they
+// are even for any number of controllers.
+func (a *assignment) locationFor(controller, round, size int) int {
+	_, start := math.Modf(float64(controller) * math.Phi)
+	position := (float64(round) + start) / float64(size) * float64(len(a.engines))
+	for location, weight := range a.locationWeights {
+		if position -= weight; position < 0 {
+			return location
 		}
 	}
-	return len(d.rooms) - 1
+	return len(a.locations) - 1
 }
 
-// take gives a controller the engine of a location that it ranks highest among those with something left; of another
-// location where there is none; and where it has all of those, one that another controller gives up for them.
-func (d *dealing) take(k, room int) {
-	best := d.best(k, room)
-	for r := 0; best < 0 && r < len(d.rooms); r++ {
-		best = d.best(k, r)
+// assignNext assigns a controller the engine that it ranks highest among those of the location that are still available to it. If
+// there is none, it takes one of another location. If the controller already has all available engines, another controller swaps
+// one of its engines for an available one and gives the first to this controller.
+func (a *assignment) assignNext(controller, location int) {
+	best := a.bestAvailable(controller, location)
+	for other := 0; best < 0 && other < len(a.locations); other++ {
+		best = a.bestAvailable(controller, other)
 	}
 	if best >= 0 {
-		d.give(k, best)
+		a.give(controller, best)
 		return
 	}
-	for free := range d.engines {
-		if d.left[free] == 0 {
+	for free := range a.engines {
+		if a.remaining[free] == 0 {
 			continue
 		}
-		for o, hand := range d.hands {
-			if o == k || d.has[o].has(free) {
+		for donor, subset := range a.subsets {
+			if donor == controller || a.members[donor].has(free) {
 				continue
 			}
-			for at, e := range hand {
-				if !d.has[k].has(e) {
-					hand[at] = free
-					d.has[o].remove(e)
-					d.has[o].add(free)
-					d.left[free]--
-					d.hands[k] = append(d.hands[k], e)
-					d.has[k].add(e)
+			for index, e := range subset {
+				if !a.members[controller].has(e) {
+					subset[index] = free
+					a.members[donor].remove(e)
+					a.members[donor].add(free)
+					a.remaining[free]--
+					a.subsets[controller] = append(a.subsets[controller], e)
+					a.members[controller].add(e)
 					return
 				}
 			}
@@ -263,102 +271,108 @@
 	}
 }
 
-// keptMore engines of a room, beyond the room's part of a subset, are kept in a controller's order: nearly always one of them has
-// something left. Where none has, the room is gone through once more, as is a room of few times as many while they are few.
-const keptMore, fewTimes, fewKept = 4, 8, 12
+// extraRanked is how many engines of a location a controller's ranked list holds beyond the location's part of a subset; nearly
+// always one of them is available. If none is, the whole location is searched. A location with fewer engines than fullRankFactor
+// times the length of the list is searched without a list if that length is at most maxSearchedLen, and is ranked completely
+// otherwise.
+const extraRanked, fullRankFactor, maxSearchedLen = 4, 8, 12
 
-// best ranks by chance that each pair of a controller and an engine has of its own (rendezvous hashing), so that a
-// change of the list leaves the ranks of the others as they are.
-func (d *dealing) best(k, room int) int {
-	if d.keep <= fewKept && len(d.rooms[room]) < fewTimes*d.keep {
-		return d.bestOfAll(k, d.rooms[room])
+// bestAvailable returns the engine of a location that a controller ranks highest among those available to it, or -1. Ranks are
+// hashes of the pair of controller and engine (rendezvous hashing), so that a change of the list does not affect the ranks of
+// other engines.
+func (a *assignment) bestAvailable(controller, location int) int {
+	if a.rankedLen <= maxSearchedLen && len(a.locations[location]) < fullRankFactor*a.rankedLen {
+		return a.searchBest(controller, a.locations[location])
 	}
-	if d.first[k] == nil {
-		d.first[k] = d.highest(k)
+	if a.ranked[controller] == nil {
+		a.ranked[controller] = a.rankLocations(controller)
 	}
-	kept := d.first[k][room]
-	for n, e := range kept {
-		if d.left[e] > 0 && !d.has[k].has(e) {
-			d.first[k][room] = kept[n:] // those before have nothing left, or are his: neither changes back while something is left
+	ranked := a.ranked[controller][location]
+	for n, e := range ranked {
+		if a.remaining[e] > 0 && !a.members[controller].has(e) {
+			a.ranked[controller][location] = ranked[n:] // the skipped engines stay unavailable to this controller while any engine is available
 			return e
 		}
 	}
-	d.first[k][room] = nil
-	if d.keepsAll(room) {
+	a.ranked[controller][location] = nil
+	if a.ranksAll(location) {
 		return -1
 	}
-	return d.bestOfAll(k, d.rooms[room])
+	return a.searchBest(controller, a.locations[location])
 }
 
-// highest gives the engines of each room that a controller ranks highest, the highest first.
-func (d *dealing) highest(k int) [][]int {
-	salt := mix(uint64(k))
-	all := make([][]int, len(d.rooms))
-	ranks := make([]uint64, 0, d.keep+1)
-	for r, room := range d.rooms {
-		if d.keepsAll(r) {
-			all[r] = d.inOrder(salt, room)
+// rankLocations returns, for each location, the engines that a controller ranks highest, in descending order.
+func (a *assignment) rankLocations(controller int) [][]int {
+	salt := mix(uint64(controller))
+	all := make([][]int, len(a.locations))
+	ranks := make([]uint64, 0, a.rankedLen+1)
+	for location, engines := range a.locations {
+		if a.ranksAll(location) {
+			all[location] = a.sortByRank(salt, engines)
 			continue
 		}
-		best := make([]int, min(d.keep, len(room)))
+		best := make([]int, min(a.rankedLen, len(engines)))
 		ranks = slices.Grow(ranks[:0], len(best))[:len(best)]
 		clear(ranks)
-		for _, e := range room {
-			rank := d.rank(salt, e)
+		for _, e := range engines {
+			rank := a.rank(salt, e)
 			if rank <= ranks[len(ranks)-1] {
 				continue
 			}
-			at := len(ranks) - 1
-			for ; at > 0 && rank > ranks[at-1]; at-- {
-				best[at], ranks[at] = best[at-1], ranks[at-1]
+			position := len(ranks) - 1
+			for ; position > 0 && rank > ranks[position-1]; position-- {
+				best[position], ranks[position] = best[position-1], ranks[position-1]
 			}
-			best[at], ranks[at] = e, rank
+			best[position], ranks[position] = e, rank
 		}
-		all[r] = best
+		all[location] = best
 	}
 	return all
 }
 
-// keepsAll tells that all engines of a room are kept in order, as most of them are wanted.
-func (d *dealing) keepsAll(room int) bool { return len(d.rooms[room]) < fewTimes*d.keep }
+// ranksAll reports whether the ranked list of a location holds all its engines, as a large part of them is needed anyway.
+func (a *assignment) ranksAll(location int) bool {
+	return len(a.locations[location]) < fullRankFactor*a.rankedLen
+}
 
-// inOrder gives engines in the order of a controller.
-func (d *dealing) inOrder(salt uint64, engines []int) []int {
+// sortByRank returns the engines in descending order of a controller's ranks.
+func (a *assignment) sortByRank(salt uint64, engines []int) []int {
 	type ranked struct {
-		rank uint64
-		e    int
+		rank   uint64
+		engine int
 	}
 	all := make([]ranked, len(engines))
-	for n, e := range engines {
-		all[n] = ranked{d.rank(salt, e), e}
+	for n, engine := range engines {
+		all[n] = ranked{a.rank(salt, engine), engine}
 	}
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.rank, a.rank), a.e-b.e) })
+	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.rank, a.rank), a.engine-b.engine) })
 	ordered := make([]int, len(all))
 	for n := range all {
-		ordered[n] = all[n].e
+		ordered[n] = all[n].engine
 	}
 	return ordered
 }
 
-// bestOfAll goes through all of a room.
-func (d *dealing) bestOfAll(k int, among []int) int {
-	best, highest, salt := -1, uint64(0), mix(uint64(k))
-	for _, e := range among {
-		if d.left[e] == 0 || d.has[k].has(e) {
+// searchBest returns the available engine that a controller ranks highest by searching all given engines, or -1.
+func (a *assignment) searchBest(controller int, engines []int) int {
+	best, highest, salt := -1, uint64(0), mix(uint64(controller))
+	for _, e := range engines {
+		if a.remaining[e] == 0 || a.members[controller].has(e) {
 			continue
 		}
-		if rank := d.rank(salt, e); best < 0 || rank > highest {
+		if rank := a.rank(salt, e); best < 0 || rank > highest {
 			best, highest = e, rank
 		}
 	}
 	return best
 }
 
-// rank of an engine for the controller whose number was mixed into a salt.
-func (d *dealing) rank(salt uint64, e int) uint64 { return mix(d.keys[e] ^ salt) }
+// rank returns the rank of an engine for a controller; salt is the hash of the controller's number.
+func (a *assignment) rank(salt uint64, e int) uint64 { return mix(a.keys[e] ^ salt) }
 
-func (d *dealing) give(k, e int) {
-	d.hands[k] = append(d.hands[k], e)
-	d.has[k].add(e)
-	d.left[e]--
+// give assigns an engine to a controller.
+func (a *assignment) give(controller, e int) {
+	a.subsets[controller] = append(a.subsets[controller], e)
+	a.members[controller].add(e)
+	a.remaining[e]--
 }
--- a/decide/spread/deal_test.go
+++ b/decide/spread/deal_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain gives the property tests the same seed in each run; -rapid.seed looks further.
+// TestMain runs the property tests with a fixed seed; -rapid.seed selects another.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -18,125 +18,127 @@
 	os.Exit(m.Run())
 }
 
-func list(n, rooms int) (engines []Engine) {
+// testEngines returns n engines of equal capacity that alternate between locations.
+func testEngines(n, locations int) (engines []Engine) {
 	for i := range n {
-		engines = append(engines, Engine{EngineID(fmt.Sprintf("engine-%d", i*7919)), Location(fmt.Sprint("room-", i%rooms)), 0})
+		engines = append(engines, Engine{EngineID(fmt.Sprintf("engine-%d", i*7919)), Location(fmt.Sprint("room-", i%locations)), 0})
 	}
 	return engines
 }
 
-// TestEven: every engine is in as many subsets within one, no controller one twice, and all have as many.
+// TestEven checks that every engine is in the same number of subsets, within one, that no controller has an engine twice, and that
+// all subsets have the same size.
 func TestEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines := list(rapid.IntRange(1, 120).Draw(t, "engines"), rapid.IntRange(1, 4).Draw(t, "rooms"))
+		engines := testEngines(rapid.IntRange(1, 120).Draw(t, "engines"), rapid.IntRange(1, 4).Draw(t, "rooms"))
 		controllers, size := rapid.IntRange(1, 150).Draw(t, "controllers"), rapid.IntRange(1, 9).Draw(t, "size")
-		d := deal(engines, controllers, size)
+		d := assign(engines, controllers, size)
 		count := make([]int, len(engines))
-		for k, hand := range d.hands {
-			if want := min(size, len(engines)); len(hand) != want || len(distinct(hand)) != want {
-				t.Fatalf("controller %d has %v, %d are wanted", k, hand, want)
+		for controller, subset := range d.subsets {
+			if want := min(size, len(engines)); len(subset) != want || len(distinct(subset)) != want {
+				t.Fatalf("controller %d has %v, %d are wanted", controller, subset, want)
 			}
-			for _, e := range hand {
+			for _, e := range subset {
 				count[e]++
 			}
 		}
 		if slices.Max(count) > slices.Min(count)+1 {
-			t.Fatal("subsets by engine: ", count)
+			t.Fatal("uneven number of subsets by engine: ", count)
 		}
 	})
 }
 
-// TestCapacity: engines are in subsets by capacity, within one, and none has a controller twice though it is larger than all
-// others together.
+// TestCapacity checks that the number of subsets of an engine is in proportion to its capacity, within one, and that no controller
+// has an engine twice, even one that is larger than all others together.
 func TestCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines := list(rapid.IntRange(1, 60).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "rooms"))
+		engines := testEngines(rapid.IntRange(1, 60).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "rooms"))
 		controllers, size := rapid.IntRange(1, 100).Draw(t, "controllers"), rapid.IntRange(1, 6).Draw(t, "size")
 		for n := range engines {
 			engines[n].Capacity = rapid.SampledFrom([]float64{4, 8, 16, 400}).Draw(t, "cores")
 		}
-		d := deal(engines, controllers, size)
-		count, dealt := make([]float64, len(engines)), 0.0
-		for k, hand := range d.hands {
-			if want := min(size, len(engines)); len(hand) != want || len(distinct(hand)) != want {
-				t.Fatalf("controller %d has %v, %d are wanted", k, hand, want)
+		d := assign(engines, controllers, size)
+		count, assigned := make([]float64, len(engines)), 0.0
+		for controller, subset := range d.subsets {
+			if want := min(size, len(engines)); len(subset) != want || len(distinct(subset)) != want {
+				t.Fatalf("controller %d has %v, %d are wanted", controller, subset, want)
 			}
-			for _, e := range hand {
+			for _, e := range subset {
 				count[e]++
-				dealt++
+				assigned++
 			}
 		}
 		for a := range count {
 			for b := range count {
-				// One that has fewer than its part, beside one that has more, though it could have another controller.
+				// Engine a has less than its share and b more, although a could be given to another controller.
 				if count[a] < float64(controllers) && (count[a]+1)/d.weights[a] < (count[b]-1)/d.weights[b] {
-					t.Fatalf("%g of capacity %g beside %g of %g", count[a], d.weights[a], count[b], d.weights[b])
+					t.Fatalf("engine in %g subsets with weight %g, another in %g with weight %g", count[a], d.weights[a], count[b], d.weights[b])
 				}
 			}
 		}
 	})
 }
 
-func distinct(hand []int) []int {
-	hand = slices.Clone(hand)
-	slices.Sort(hand)
-	return slices.Compact(hand)
+func distinct(subset []int) []int {
+	subset = slices.Clone(subset)
+	slices.Sort(subset)
+	return slices.Compact(subset)
 }
 
-// TestOrder: all engines, the dealt ones first, and the same for whoever asks.
+// TestOrder checks that the order has all engines, begins with the assigned subset, and does not depend on the order of the list.
 func TestOrder(t *testing.T) {
-	engines := list(20, 2)
-	d := deal(engines, 50, 3)
-	for k := range 50 {
-		own := Order(engines, 50, k, 3)
-		for _, e := range d.hands[k] {
-			if at := slices.Index(own, d.engines[e].ID); at < 0 || at >= 3 {
-				t.Error(k, own, d.engines[e].ID)
+	engines := testEngines(20, 2)
+	d := assign(engines, 50, 3)
+	for controller := range 50 {
+		order := Order(engines, 50, controller, 3)
+		for _, e := range d.subsets[controller] {
+			if at := slices.Index(order, d.engines[e].ID); at < 0 || at >= 3 {
+				t.Error(controller, order, d.engines[e].ID)
 			}
 		}
 		slices.Reverse(engines)
-		if again := Order(engines, 50, k, 3); len(own) != 20 || !slices.Equal(own, again) {
-			t.Error(k, own, again)
+		if again := Order(engines, 50, controller, 3); len(order) != 20 || !slices.Equal(order, again) {
+			t.Error(controller, order, again)
 		}
 	}
 }
 
-// TestLarge: the largest fleet of the promises.
+// TestLarge checks an even assignment for the largest fleet that is supported, and for extreme ones.
 func TestLarge(t *testing.T) {
 	for _, size := range [][2]int{{2000, 500}, {300, 80}, {1, 1}, {1, 500}, {2000, 1}} {
 		count := map[int]int{}
-		for _, hand := range deal(list(size[1], 3), size[0], 4).hands {
-			for _, e := range hand {
+		for _, subset := range assign(testEngines(size[1], 3), size[0], 4).subsets {
+			for _, e := range subset {
 				count[e]++
 			}
 		}
-		least, most := 1<<30, 0
+		fewest, largest := 1<<30, 0
 		for e := range size[1] {
-			least, most = min(least, count[e]), max(most, count[e])
+			fewest, largest = min(fewest, count[e]), max(largest, count[e])
 		}
-		if most > least+1 {
-			t.Error(size, least, most)
+		if largest > fewest+1 {
+			t.Error(size, fewest, largest)
 		}
 	}
 }
 
-// TestRooms: with a room lost, nobody is without an engine: subsets lie in locations as engines do.
+// TestRooms checks that every subset has engines in both locations, so that no controller is without one if a location fails.
 func TestRooms(t *testing.T) {
-	engines := list(80, 2)
-	d := deal(engines, 300, 4)
-	for k, hand := range d.hands {
+	engines := testEngines(80, 2)
+	d := assign(engines, 300, 4)
+	for controller, subset := range d.subsets {
 		in := map[Location]int{}
-		for _, e := range hand {
+		for _, e := range subset {
 			in[d.engines[e].Location]++
 		}
 		if in["room-0"] < 1 || in["room-1"] < 1 {
-			t.Error(k, in)
+			t.Error(controller, in)
 		}
 	}
 }
 
-// moved counts engines of subsets that a change of the list moves, beside those on engines that went.
-func moved(before, after func(k int) []EngineID, controllers int, gone EngineID) (n int) {
+// countMoved counts the engines that controllers lose from their subsets when the list changes, except the removed engine itself.
+func countMoved(before, after func(k int) []EngineID, controllers int, gone EngineID) (n int) {
 	for k := range controllers {
 		now := after(k)
 		for _, e := range before(k) {
@@ -148,8 +150,9 @@
 	return n
 }
 
-// window is the way before: subsets are neighbours in the order of ids, from a place by number.
-func window(engines []Engine, controllers, size int) func(k int) []EngineID {
+// windowSubsets is the earlier algorithm, for comparison: a subset is a run of consecutive engines in the order of ids, from a
+// start that follows from the controller's number.
+func windowSubsets(engines []Engine, controllers, size int) func(k int) []EngineID {
 	return func(k int) (own []EngineID) {
 		for n := range size {
 			own = append(own, engines[(k*len(engines)/controllers+n)%len(engines)].ID)
@@ -158,42 +161,43 @@
 	}
 }
 
-func dealt(engines []Engine, controllers, size int) func(k int) []EngineID {
-	d := deal(engines, controllers, size)
+// assignedSubsets returns the subsets that deal assigns.
+func assignedSubsets(engines []Engine, controllers, size int) func(k int) []EngineID {
+	d := assign(engines, controllers, size)
 	return func(k int) (own []EngineID) {
-		for _, e := range d.hands[k] {
+		for _, e := range d.subsets[k] {
 			own = append(own, d.engines[e].ID)
 		}
 		return own
 	}
 }
 
-// TestMoves: one engine of 80 goes, for each of them; engines in subsets of 300 controllers that move without need, of 1,200, and
-// pairs of controllers that share all of them.
+// TestMoves compares deal with the earlier algorithm (window). For the removal of each one of 80 engines, it counts how many of the
+// 1,200 entries in the subsets of 300 controllers change without need. It also counts pairs of controllers with equal subsets.
 func TestMoves(t *testing.T) {
 	const controllers, size = 300, 4
-	engines := list(80, 2)
+	engines := testEngines(80, 2)
 	slices.SortFunc(engines, func(a, b Engine) int { return len(a.ID) - len(b.ID) })
-	mean := func(way func([]Engine, int, int) func(int) []EngineID) float64 {
+	mean := func(subsetsOf func([]Engine, int, int) func(int) []EngineID) float64 {
 		total := 0
 		for n, e := range engines {
 			without := slices.Delete(slices.Clone(engines), n, n+1)
-			total += moved(way(engines, controllers, size), way(without, controllers, size), controllers, e.ID)
+			total += countMoved(subsetsOf(engines, controllers, size), subsetsOf(without, controllers, size), controllers, e.ID)
 		}
 		return float64(total) / float64(len(engines))
 	}
-	twins := func(way func(int) []EngineID) (n int) {
+	countEqual := func(subsetsOf func(int) []EngineID) (n int) {
 		seen := map[string]int{}
 		for k := range controllers {
-			own := slices.Clone(way(k))
+			own := slices.Clone(subsetsOf(k))
 			slices.Sort(own)
 			n += seen[fmt.Sprint(own)]
 			seen[fmt.Sprint(own)]++
 		}
 		return n
 	}
-	dealtMoves, windowMoves := mean(dealt), mean(window)
-	dealtTwins, windowTwins := twins(dealt(engines, controllers, size)), twins(window(engines, controllers, size))
+	dealtMoves, windowMoves := mean(assignedSubsets), mean(windowSubsets)
+	dealtTwins, windowTwins := countEqual(assignedSubsets(engines, controllers, size)), countEqual(windowSubsets(engines, controllers, size))
 	t.Logf("moved %.1f (window %.1f) of 1200; pairs with the same subset %d (%d)", dealtMoves, windowMoves, dealtTwins, windowTwins)
 	if dealtMoves > windowMoves || dealtTwins > windowTwins/10 {
 		t.Errorf("moved %.1f (window %.1f), pairs with the same subset %d (%d)", dealtMoves, windowMoves, dealtTwins, windowTwins)
@@ -203,7 +207,7 @@
 func BenchmarkOrder(b *testing.B) {
 	for _, size := range [][2]int{{300, 80}, {2000, 500}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			engines := list(size[1], 3)
+			engines := testEngines(size[1], 3)
 			for b.Loop() {
 				Order(engines, size[0], 7, 4)
 			}
