--- a/decide/tally/tally.go
+++ b/decide/tally/tally.go
@@ -1,15 +1,15 @@
-// Package tally counts over a fleet what only informs: instances that are there, jobs open, work out. Each instance says its
-// own figures, and passes on the newest that it has of others; what is read comes with bounds and an age, and never rests on
-// a word that has to arrive. It does no I/O and asks no clock.
+// Package tally aggregates counters over a fleet by gossip. They are for information only: instances, open jobs, work in progress.
+// Each instance sends its own counters and passes on the newest ones that it has of others. Sums are returned with bounds and an
+// age, and do not depend on the arrival of any particular message. The package does no I/O and reads no clock.
 //
-// Its promises, under loss, delay, doubling and any order of messages:
-//   - A figure of an instance is never replaced by an older one, nor by one of an earlier life: a restart counts once.
-//   - A sum is at least that of all words that are fresh, and at most that with the most that each other may have; an instance
-//     of which nothing fresh is known is in neither twice.
-//   - No more is kept than there is room for, and nothing packed is larger than asked.
+// It guarantees, under loss, delay, duplication and reordering of messages:
+//   - Counters of an instance are never replaced by older ones, nor by those of an earlier incarnation: a restart counts once.
+//   - A sum lies between the sum of all fresh reports and that sum plus the maximum of each instance without a fresh report; such
+//     an instance is counted at most once.
+//   - State is limited to the configured number of instances, and no packed message is larger than requested.
 //
-// Ages are bounds as those of decide/member: what came in an answer left its sender after the question, and what it tells of
-// third ones was as old as it says then. What came unasked takes part by its figure, with the age that is known otherwise.
+// Ages are upper bounds, as in decide/member: what arrives in an answer was sent after the question, and what it relays of other
+// instances had then the age that it states. Counters that arrive unsolicited are stored, but do not change the known age.
 package tally
 
 import (
@@ -22,91 +22,96 @@
 	"yarrowbarrow/decide/member"
 )
 
-// Key names a figure: what is counted, and of which class, customer or engine.
+// Key identifies a counter: what is counted, and for which class, customer or engine.
 type Key struct {
 	What byte
 	Of   string
 }
 
-// Value is a figure of this moment, 0 and up.
+// Value is the current value of a counter, never negative.
 type Value int64
 
-// entry is what one instance said of itself.
+// entry holds the counters that an instance reported about itself.
 type entry struct {
-	name    member.Name
-	life    member.Life
-	version uint64
-	values  map[Key]Value
-	left    time.Duration // its words left it then or later; never where that is not known
-	came    time.Duration
+	name       member.Name
+	life       member.Life
+	version    uint64
+	values     map[Key]Value
+	sentAt     time.Duration // the report was sent at this time or later; never if unknown
+	receivedAt time.Duration
 }
 
+// never is the time of a report whose age is unknown.
 const never = time.Duration(-1 << 62)
 
-// Tally is the state of one instance.
+// Tally holds the counters of one instance and those that it received from others.
 type Tally struct {
-	own     entry
-	others  map[member.Name]*entry
-	turn    []member.Name // whose words are passed on next
-	changed bool
-	most    int
+	own          entry
+	others       map[member.Name]*entry
+	relayQueue   []member.Name // instances whose reports are relayed next
+	changed      bool
+	maxInstances int
 }
 
-// Bounds of what is kept: instances, and figures of each. Names of what is counted are short.
-const mostKeys, mostOf = 64, 64
+// Limits of the counters of an instance, and of the length of the names in messages in bytes.
+const maxKeys, maxNameBytes = 64, 64
 
-// New gives the tally of an instance that begins, among at most so many others.
-func New(name member.Name, life member.Life, most int) *Tally {
-	return &Tally{own: entry{name: name, life: life, version: 1, values: map[Key]Value{}}, others: map[member.Name]*entry{}, most: most}
+// New returns the Tally of an instance that starts. It stores the reports of at most the given number of other instances.
+func New(name member.Name, life member.Life, maxInstances int) *Tally {
+	return &Tally{own: entry{name: name, life: life, version: 1, values: map[Key]Value{}},
+		others: map[member.Name]*entry{}, maxInstances: maxInstances}
 }
 
-// Set says what a figure of this instance is now; 0 takes it out. It tells whether there was room for it.
+// Set sets a counter of this instance; 0 removes it. It reports false if the key or value is invalid or there are too many
+// counters.
 func (t *Tally) Set(k Key, v Value) bool {
-	was, is := t.own.values[k]
+	old, exists := t.own.values[k]
 	switch {
-	case v == was && (is || v == 0):
+	case v == old && (exists || v == 0):
 		return true
-	case len(k.Of) > mostOf || v < 0 || !is && len(t.own.values) >= mostKeys:
+	case len(k.Of) > maxNameBytes || v < 0 || !exists && len(t.own.values) >= maxKeys:
 		return false
 	case v == 0:
 		delete(t.own.values, k)
 	default:
 		t.own.values[k] = v
 	}
-	t.changed = true // many changes between two messages are one version
+	t.changed = true // all changes between two messages share a version
 	return true
 }
 
-// Pack gives this instance's figures, and those of others that were not passed on for longest.
+// Pack returns a message of at most room bytes with the counters of this instance, and those of the other instances that have not
+// been relayed for the longest time. It returns nil if its own counters do not fit.
 func (t *Tally) Pack(now time.Duration, _ member.Name, room int) []byte {
 	if t.changed {
 		t.own.version++
 		t.changed = false
 	}
 	own := t.own
-	own.left = now
+	own.sentAt = now
 	out := own.append(nil, now)
 	if len(out) > room {
 		return nil
 	}
 	for range t.others {
-		if len(t.turn) == 0 {
-			t.turn = t.names()
+		if len(t.relayQueue) == 0 {
+			t.relayQueue = t.names()
 		}
-		e := t.others[t.turn[0]]
+		e := t.others[t.relayQueue[0]]
 		if e == nil {
-			t.turn = t.turn[1:]
+			t.relayQueue = t.relayQueue[1:]
 			continue
 		}
-		more := e.append(out, now)
-		if len(more) > room {
+		extended := e.append(out, now)
+		if len(extended) > room {
 			break
 		}
-		out, t.turn = more, t.turn[1:]
+		out, t.relayQueue = extended, t.relayQueue[1:]
 	}
 	return out
 }
 
+// names returns the other instances in ascending order.
 func (t *Tally) names() (all []member.Name) {
 	for name := range t.others {
 		all = append(all, name)
@@ -115,83 +120,85 @@
 	return all
 }
 
-// Unpack takes what came from another. asked is the age of the answer at most, below 0 where it was not asked for.
+// Unpack reads a message of another instance. asked is the maximum age of the message if it is an answer, and negative if it was
+// unsolicited.
 func (t *Tally) Unpack(now time.Duration, _ member.Name, _ member.Life, asked time.Duration, data []byte) {
 	for len(data) > 0 {
-		e, rest, err := read(data)
+		e, rest, err := readEntry(data)
 		if err != nil {
-			return // of another version, or faulty: what came before it counts
+			return // of another version or malformed; the entries before it count
 		}
 		data = rest
-		age := e.left // read gives the age told
-		if e.left = never; asked >= 0 && age >= 0 {
-			e.left = now - asked - age
+		age := e.sentAt // read stores the reported age here
+		if e.sentAt = never; asked >= 0 && age >= 0 {
+			e.sentAt = now - asked - age
 		}
-		e.came = now
-		t.take(e)
+		e.receivedAt = now
+		t.store(e)
 	}
 }
 
-// take keeps the newest of an instance.
-func (t *Tally) take(e *entry) {
+// store stores an entry if it is newer than the stored one of its instance.
+func (t *Tally) store(e *entry) {
 	if e.name == t.own.name {
 		return
 	}
-	was := t.others[e.name]
+	stored := t.others[e.name]
 	switch {
-	case was == nil:
-		if len(t.others) < t.most {
+	case stored == nil:
+		if len(t.others) < t.maxInstances {
 			t.others[e.name] = e
 		}
-	case e.life < was.life || e.life == was.life && e.version < was.version:
-	case e.life == was.life && e.version == was.version:
-		was.left = max(was.left, e.left) // the same figures were still true then
+	case e.life < stored.life || e.life == stored.life && e.version < stored.version:
+	case e.life == stored.life && e.version == stored.version:
+		stored.sentAt = max(stored.sentAt, e.sentAt) // the counters were unchanged at the later time
 	default:
-		if e.life == was.life {
-			e.left = max(e.left, was.left) // it came after those
+		if e.life == stored.life {
+			e.sentAt = max(e.sentAt, stored.sentAt) // a newer version was sent no earlier than the stored one
 		}
 		t.others[e.name] = e
 	}
 }
 
-// Gone forgets an instance that membership has forgotten, or holds for gone: its figures are no part of any sum.
+// Gone removes an instance that membership has forgotten or regards as gone, so that it is no longer part of any sum.
 func (t *Tally) Gone(name member.Name) { delete(t.others, name) }
 
-// Sum is a figure over the fleet.
+// Sum is the sum of a counter over the fleet.
 type Sum struct {
-	Least   Value         // of this instance and all whose words are fresh
-	Most    Value         // with the most that each other may have
-	Oldest  time.Duration // of the words that count in Least
-	Fresh   int           // instances whose words are, this one among them
-	Unknown int           // others that are there
+	Least   Value         // lower bound: this instance and all instances with a fresh report
+	Most    Value         // upper bound: Least plus the maximum of each unknown instance
+	Oldest  time.Duration // age of the oldest report included in Least
+	Fresh   int           // number of instances with a fresh report, including this one
+	Unknown int           // number of other instances present without a fresh report
 }
 
-// Sum adds a figure up. fresh is how old a word may be; there are the others that membership holds for alive or suspect, and
-// each may have up to so many.
-func (t *Tally) Sum(now time.Duration, k Key, fresh time.Duration, there []member.Name, each Value) Sum {
+// Sum adds up a counter. maxAge is the maximum age of a report that counts, present the other instances that membership
+// regards as alive or suspect, and maxEach the maximum value that an instance without a fresh report may have.
+func (t *Tally) Sum(now time.Duration, k Key, maxAge time.Duration, present []member.Name, maxEach Value) Sum {
 	s := Sum{Least: t.own.values[k], Fresh: 1}
-	for _, name := range there {
+	for _, name := range present {
 		e := t.others[name]
-		if e == nil || e.left == never || now-e.left > fresh {
+		if e == nil || e.sentAt == never || now-e.sentAt > maxAge {
 			s.Unknown++
 			continue
 		}
 		s.Least += e.values[k]
 		s.Fresh++
-		s.Oldest = max(s.Oldest, now-e.left)
+		s.Oldest = max(s.Oldest, now-e.sentAt)
 	}
-	s.Most = s.Least + Value(s.Unknown)*each
+	s.Most = s.Least + Value(s.Unknown)*maxEach
 	return s
 }
 
-// append writes an entry: name, life, version, age and one, or 0 where none is known, figures by key.
+// append encodes an entry: name, life, version, age in milliseconds plus one or 0 if unknown, and counters in ascending order of
+// keys.
 func (e *entry) append(out []byte, now time.Duration) []byte {
 	out = appendText(out, string(e.name))
 	out = binary.AppendVarint(out, int64(e.life))
 	out = binary.AppendUvarint(out, e.version)
 	age := uint64(0)
-	if e.left != never {
-		age = 1 + uint64((max(now-e.left, 0)+time.Millisecond-1)/time.Millisecond) // rounded up, as it is a bound
+	if e.sentAt != never {
+		age = 1 + uint64((max(now-e.sentAt, 0)+time.Millisecond-1)/time.Millisecond) // rounded up, as the age is an upper bound
 	}
 	out = binary.AppendUvarint(out, age)
 	keys := make([]Key, 0, len(e.values))
@@ -211,15 +218,15 @@
 	return append(binary.AppendUvarint(out, uint64(len(s))), s...)
 }
 
-var errFaulty = errors.New("no tally")
+var errMalformed = errors.New("malformed tally entry")
 
-// reader takes parts off data; after the first that can't be it takes none.
+// reader decodes data from its start. After the first error, bad is set and it returns zero values.
 type reader struct {
 	data []byte
 	bad  bool
 }
 
-func (r *reader) number() uint64 {
+func (r *reader) uvarint() uint64 {
 	n, size := binary.Uvarint(r.data)
 	if size <= 0 || r.bad {
 		r.bad = true
@@ -229,9 +236,9 @@
 	return n
 }
 
-func (r *reader) text(most int) string {
-	n := r.number()
-	if r.bad || n > uint64(most) || n > uint64(len(r.data)) {
+func (r *reader) text(maxBytes int) string {
+	n := r.uvarint()
+	if r.bad || n > uint64(maxBytes) || n > uint64(len(r.data)) {
 		r.bad = true
 		return ""
 	}
@@ -240,37 +247,38 @@
 	return s
 }
 
-// mostAge is taken for older than anything that matters, so that no sum of times runs over.
-const mostAge = 24 * time.Hour
+// maxReportedAge limits reported ages, so that sums of times do not overflow. It is older than any age that matters.
+const maxReportedAge = 24 * time.Hour
 
-// read gives the first entry, with its age in left, below 0 where none is told.
-func read(data []byte) (e *entry, rest []byte, err error) {
+// readEntry decodes the first entry of data and returns it with the remaining data. Its sentAt is the reported age, negative if
+// there is none.
+func readEntry(data []byte) (e *entry, rest []byte, err error) {
 	r := &reader{data: data}
-	e = &entry{values: map[Key]Value{}, left: -1}
-	e.name = member.Name(r.text(mostOf))
+	e = &entry{values: map[Key]Value{}, sentAt: -1}
+	e.name = member.Name(r.text(maxNameBytes))
 	life, size := binary.Varint(r.data)
 	if size <= 0 || r.bad || e.name == "" {
-		return nil, nil, errFaulty
+		return nil, nil, errMalformed
 	}
 	r.data = r.data[size:]
-	e.life, e.version = member.Life(life), r.number()
-	if age := r.number(); age > 0 {
-		e.left = min(time.Duration(min(age-1, uint64(mostAge/time.Millisecond)))*time.Millisecond, mostAge)
+	e.life, e.version = member.Life(life), r.uvarint()
+	if age := r.uvarint(); age > 0 {
+		e.sentAt = min(time.Duration(min(age-1, uint64(maxReportedAge/time.Millisecond)))*time.Millisecond, maxReportedAge)
 	}
-	many := r.number()
-	if r.bad || many > mostKeys {
-		return nil, nil, errFaulty
+	count := r.uvarint()
+	if r.bad || count > maxKeys {
+		return nil, nil, errMalformed
 	}
-	for range many {
+	for range count {
 		if len(r.data) == 0 {
-			return nil, nil, errFaulty
+			return nil, nil, errMalformed
 		}
-		what := r.data[0]
+		kind := r.data[0]
 		r.data = r.data[1:]
-		k := Key{what, r.text(mostOf)}
-		v := r.number()
+		k := Key{kind, r.text(maxNameBytes)}
+		v := r.uvarint()
 		if r.bad || v > 1<<53 {
-			return nil, nil, errFaulty
+			return nil, nil, errMalformed
 		}
 		e.values[k] = Value(v)
 	}
