--- a/decide/limit/fleet_test.go
+++ b/decide/limit/fleet_test.go
@@ -24,27 +24,27 @@
 
 // simulate runs the simulation. It returns for each job sent to the engine when it was sent, counted from the engine's start, and
 // its work.
-func (d coldStart) simulate(t *rapid.T, rng *rand.Rand, settings Settings) (sentAt, work []time.Duration) {
+func (c coldStart) simulate(t *rapid.T, rng *rand.Rand, settings Settings) (sentAt, work []time.Duration) {
 	const start = time.Hour
-	settings.Controllers = d.controllers
+	settings.Controllers = c.controllers
 	var list []spread.Engine
-	for n := range d.engines {
-		list = append(list, spread.Engine{ID: spread.EngineID(rune('a' + n)), Location: "here", Capacity: d.cores})
+	for n := range c.engines {
+		list = append(list, spread.Engine{ID: spread.EngineID(rune('a' + n)), Location: "here", Capacity: c.cores})
 	}
-	size := max(1, min(d.engines, int(math.Ceil(3*d.cores*float64(d.engines)/float64(1+d.controllers)/2))))
+	size := max(1, min(c.engines, int(math.Ceil(3*c.cores*float64(c.engines)/float64(1+c.controllers)/2))))
 	type sender struct {
 		*Engine
 		learnsAfter, clockSkew time.Duration
 		share                  float64
 	}
 	var senders []sender
-	for n := range d.controllers {
+	for n := range c.controllers {
 		settings.Number = n
 		seen := list
 		if rng.Intn(10) == 0 { // a list that lacks one of the other engines
 			seen = list[:max(1, len(list)-1)]
 		}
-		order := spread.Order(append([]spread.Engine(nil), seen...), d.controllers, n, size)
+		order := spread.Order(append([]spread.Engine(nil), seen...), c.controllers, n, size)
 		share := 0.0
 		for _, id := range order[:min(size, len(order))] {
 			if id == list[0].ID {
@@ -53,7 +53,7 @@
 		}
 		l := New(settings)
 		l.Within(start-time.Minute, "")
-		e := l.Engine(d.cores)
+		e := l.Engine(c.cores)
 		e.Started(start)
 		senders = append(senders, sender{e, time.Duration(rng.Int63n(int64(2 * time.Second))),
 			time.Duration(rng.Int63n(int64(200*ms))) - 100*ms, share})
@@ -61,17 +61,17 @@
 	for now := start; now < start+settings.Cold-200*ms; now += 20 * ms { // ends early enough that no clock takes the engine for warm
 		for n := range senders {
 			s := &senders[n]
-			if d.restartShare > 0 && now-start >= d.restartAt && now-start < d.restartAt+20*ms && rng.Float64() < d.restartShare {
+			if c.restartShare > 0 && now-start >= c.restartAt && now-start < c.restartAt+20*ms && rng.Float64() < c.restartShare {
 				settings.Number = n
 				l := New(settings)
 				l.Within(now, "")
-				s.Engine = l.Engine(d.cores)
+				s.Engine = l.Engine(c.cores)
 				s.Engine.Started(start)
 			}
-			if now-start < s.learnsAfter || rng.Float64() >= d.sendProbability(n) {
+			if now-start < s.learnsAfter || rng.Float64() >= c.sendProbability(n) {
 				continue
 			}
-			if w := d.jobWorks[rng.Intn(len(d.jobWorks))]; s.Allows(now+s.clockSkew, w, s.share) {
+			if w := c.jobWorks[rng.Intn(len(c.jobWorks))]; s.Allows(now+s.clockSkew, w, s.share) {
 				s.Sent(now+s.clockSkew, w, s.share)
 				sentAt, work = append(sentAt, now-start), append(work, w)
 			}
--- a/decide/spread/apart_test.go
+++ b/decide/spread/apart_test.go
@@ -14,22 +14,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.IntRange(2, 400).Draw(t, "fleet")
 		from, count := rapid.IntRange(0, fleet-1).Draw(t, "from"), rapid.IntRange(1, fleet).Draw(t, "many")
-		var places []float64
+		var offsets []float64
 		for n := from; n < min(from+count, fleet); n++ {
 			offset := NewApart(fleet, n, int64(n)).Place(time.Second)
 			if offset < 0 || offset >= time.Second {
 				t.Fatal(n, offset)
 			}
-			places = append(places, offset.Seconds())
+			offsets = append(offsets, offset.Seconds())
 		}
-		slices.Sort(places)
-		for n, offset := range places { // the golden ratio keeps gaps below 2.2 times the mean, also across the ends
-			gap := places[0] + 1 - places[len(places)-1]
+		slices.Sort(offsets)
+		for n, offset := range offsets { // the golden ratio keeps gaps below 2.2 times the mean, also across the ends
+			gap := offsets[0] + 1 - offsets[len(offsets)-1]
 			if n > 0 {
-				gap = offset - places[n-1]
+				gap = offset - offsets[n-1]
 			}
-			if len(places) > 1 && gap > 2.2/float64(len(places)) {
-				t.Fatalf("offsets of %d controllers from number %d on have a gap of %.4f s", len(places), from, gap)
+			if len(offsets) > 1 && gap > 2.2/float64(len(offsets)) {
+				t.Fatalf("offsets of %d controllers from number %d on have a gap of %.4f s", len(offsets), from, gap)
 			}
 		}
 	})
@@ -71,11 +71,11 @@
 		a, failures := NewApart(300, n, int64(n)), 0
 		for at := time.Duration(0); at < length; calls++ {
 			failures++
-			pause := a.Again(failures, 400*time.Millisecond)
-			if pause <= 0 || pause > 600*time.Millisecond {
-				t.Fatal(pause)
+			backoff := a.Again(failures, 400*time.Millisecond)
+			if backoff <= 0 || backoff > 600*time.Millisecond {
+				t.Fatal(backoff)
 			}
-			at += pause
+			at += backoff
 		}
 	}
 	if rate := float64(calls) / 300 / length.Seconds(); math.Abs(rate-2.6) > 0.3 {
--- a/decide/spread/deal_test.go
+++ b/decide/spread/deal_test.go
@@ -32,9 +32,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engines := testEngines(rapid.IntRange(1, 120).Draw(t, "engines"), rapid.IntRange(1, 4).Draw(t, "rooms"))
 		controllers, size := rapid.IntRange(1, 150).Draw(t, "controllers"), rapid.IntRange(1, 9).Draw(t, "size")
-		d := assign(engines, controllers, size)
+		result := assign(engines, controllers, size)
 		count := make([]int, len(engines))
-		for controller, subset := range d.subsets {
+		for controller, subset := range result.subsets {
 			if want := min(size, len(engines)); len(subset) != want || len(distinct(subset)) != want {
 				t.Fatalf("controller %d has %v, %d are wanted", controller, subset, want)
 			}
@@ -57,9 +57,9 @@
 		for n := range engines {
 			engines[n].Capacity = rapid.SampledFrom([]float64{4, 8, 16, 400}).Draw(t, "cores")
 		}
-		d := assign(engines, controllers, size)
+		result := assign(engines, controllers, size)
 		count, assigned := make([]float64, len(engines)), 0.0
-		for controller, subset := range d.subsets {
+		for controller, subset := range result.subsets {
 			if want := min(size, len(engines)); len(subset) != want || len(distinct(subset)) != want {
 				t.Fatalf("controller %d has %v, %d are wanted", controller, subset, want)
 			}
@@ -71,8 +71,8 @@
 		for a := range count {
 			for b := range count {
 				// Engine a has less than its share and b more, although a could be given to another controller.
-				if count[a] < float64(controllers) && (count[a]+1)/d.weights[a] < (count[b]-1)/d.weights[b] {
-					t.Fatalf("engine in %g subsets with weight %g, another in %g with weight %g", count[a], d.weights[a], count[b], d.weights[b])
+				if count[a] < float64(controllers) && (count[a]+1)/result.weights[a] < (count[b]-1)/result.weights[b] {
+					t.Fatalf("engine in %g subsets with weight %g, another in %g with weight %g", count[a], result.weights[a], count[b], result.weights[b])
 				}
 			}
 		}
@@ -88,12 +88,12 @@
 // TestOrder checks that the order has all engines, begins with the assigned subset, and does not depend on the order of the list.
 func TestOrder(t *testing.T) {
 	engines := testEngines(20, 2)
-	d := assign(engines, 50, 3)
+	result := assign(engines, 50, 3)
 	for controller := range 50 {
 		order := Order(engines, 50, controller, 3)
-		for _, e := range d.subsets[controller] {
-			if at := slices.Index(order, d.engines[e].ID); at < 0 || at >= 3 {
-				t.Error(controller, order, d.engines[e].ID)
+		for _, e := range result.subsets[controller] {
+			if at := slices.Index(order, result.engines[e].ID); at < 0 || at >= 3 {
+				t.Error(controller, order, result.engines[e].ID)
 			}
 		}
 		slices.Reverse(engines)
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestLarge checks an even assignment for the largest fleet that is supported, and for extreme ones.
+// TestLarge checks an even assignment for the largest fleet that the guarantees are meant for, and for extreme ones.
 func TestLarge(t *testing.T) {
 	for _, size := range [][2]int{{2000, 500}, {300, 80}, {1, 1}, {1, 500}, {2000, 1}} {
 		count := map[int]int{}
@@ -112,12 +112,12 @@
 				count[e]++
 			}
 		}
-		fewest, largest := 1<<30, 0
+		minCount, maxCount := 1<<30, 0
 		for e := range size[1] {
-			fewest, largest = min(fewest, count[e]), max(largest, count[e])
+			minCount, maxCount = min(minCount, count[e]), max(maxCount, count[e])
 		}
-		if largest > fewest+1 {
-			t.Error(size, fewest, largest)
+		if maxCount > minCount+1 {
+			t.Error(size, minCount, maxCount)
 		}
 	}
 }
@@ -125,11 +125,11 @@
 // TestRooms checks that every subset has engines in both locations, so that no controller is without one if a location fails.
 func TestRooms(t *testing.T) {
 	engines := testEngines(80, 2)
-	d := assign(engines, 300, 4)
-	for controller, subset := range d.subsets {
+	result := assign(engines, 300, 4)
+	for controller, subset := range result.subsets {
 		in := map[Location]int{}
 		for _, e := range subset {
-			in[d.engines[e].Location]++
+			in[result.engines[e].Location]++
 		}
 		if in["room-0"] < 1 || in["room-1"] < 1 {
 			t.Error(controller, in)
@@ -138,10 +138,10 @@
 }
 
 // countMoved counts the engines that controllers lose from their subsets when the list changes, except the removed engine itself.
-func countMoved(before, after func(k int) []EngineID, controllers int, gone EngineID) (n int) {
-	for k := range controllers {
-		now := after(k)
-		for _, e := range before(k) {
+func countMoved(before, after func(controller int) []EngineID, controllers int, gone EngineID) (n int) {
+	for controller := range controllers {
+		now := after(controller)
+		for _, e := range before(controller) {
 			if e != gone && !slices.Contains(now, e) {
 				n++
 			}
@@ -152,28 +152,29 @@
 
 // windowSubsets is the earlier algorithm, for comparison: a subset is a run of consecutive engines in the order of ids, from a
 // start that follows from the controller's number.
-func windowSubsets(engines []Engine, controllers, size int) func(k int) []EngineID {
-	return func(k int) (own []EngineID) {
+func windowSubsets(engines []Engine, controllers, size int) func(controller int) []EngineID {
+	return func(controller int) (subset []EngineID) {
 		for n := range size {
-			own = append(own, engines[(k*len(engines)/controllers+n)%len(engines)].ID)
+			subset = append(subset, engines[(controller*len(engines)/controllers+n)%len(engines)].ID)
 		}
-		return own
+		return subset
 	}
 }
 
-// assignedSubsets returns the subsets that deal assigns.
-func assignedSubsets(engines []Engine, controllers, size int) func(k int) []EngineID {
-	d := assign(engines, controllers, size)
-	return func(k int) (own []EngineID) {
-		for _, e := range d.subsets[k] {
-			own = append(own, d.engines[e].ID)
-		}
-		return own
+// assignedSubsets returns the subsets that assign computes.
+func assignedSubsets(engines []Engine, controllers, size int) func(controller int) []EngineID {
+	result := assign(engines, controllers, size)
+	return func(controller int) (subset []EngineID) {
+		for _, e := range result.subsets[controller] {
+			subset = append(subset, result.engines[e].ID)
+		}
+		return subset
 	}
 }
 
-// TestMoves compares deal with the earlier algorithm (window). For the removal of each one of 80 engines, it counts how many of the
-// 1,200 entries in the subsets of 300 controllers change without need. It also counts pairs of controllers with equal subsets.
+// TestMoves compares assign with the earlier algorithm (window). For the removal of each one of 80 engines, it counts how many of
+// the 1,200 entries in the subsets of 300 controllers change without need. It also counts pairs of controllers with equal
+// subsets.
 func TestMoves(t *testing.T) {
 	const controllers, size = 300, 4
 	engines := testEngines(80, 2)
@@ -188,19 +189,19 @@
 	}
 	countEqual := func(subsetsOf func(int) []EngineID) (n int) {
 		seen := map[string]int{}
-		for k := range controllers {
-			own := slices.Clone(subsetsOf(k))
-			slices.Sort(own)
-			n += seen[fmt.Sprint(own)]
-			seen[fmt.Sprint(own)]++
+		for controller := range controllers {
+			subset := slices.Clone(subsetsOf(controller))
+			slices.Sort(subset)
+			n += seen[fmt.Sprint(subset)]
+			seen[fmt.Sprint(subset)]++
 		}
 		return n
 	}
-	dealtMoves, windowMoves := mean(assignedSubsets), mean(windowSubsets)
-	dealtTwins, windowTwins := countEqual(assignedSubsets(engines, controllers, size)), countEqual(windowSubsets(engines, controllers, size))
-	t.Logf("moved %.1f (window %.1f) of 1200; pairs with the same subset %d (%d)", dealtMoves, windowMoves, dealtTwins, windowTwins)
-	if dealtMoves > windowMoves || dealtTwins > windowTwins/10 {
-		t.Errorf("moved %.1f (window %.1f), pairs with the same subset %d (%d)", dealtMoves, windowMoves, dealtTwins, windowTwins)
+	assignedMoves, windowMoves := mean(assignedSubsets), mean(windowSubsets)
+	assignedEqual, windowEqual := countEqual(assignedSubsets(engines, controllers, size)), countEqual(windowSubsets(engines, controllers, size))
+	t.Logf("moved %.1f (window %.1f) of 1200; pairs with the same subset %d (%d)", assignedMoves, windowMoves, assignedEqual, windowEqual)
+	if assignedMoves > windowMoves || assignedEqual > windowEqual/10 {
+		t.Errorf("moved %.1f (window %.1f), pairs with the same subset %d (%d)", assignedMoves, windowMoves, assignedEqual, windowEqual)
 	}
 }
 
--- a/decide/spread/first_test.go
+++ b/decide/spread/first_test.go
@@ -12,17 +12,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engines := testEngines(rapid.IntRange(100, 900).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "rooms"))
 		controllers, size := rapid.IntRange(1, 60).Draw(t, "controllers"), rapid.IntRange(1, 12).Draw(t, "size")
-		d := assign(engines, controllers, 0)
-		d.rankedLen = size/len(d.locations) + extraRanked
-		d.setRemaining(size * len(d.subsets))
+		result := assign(engines, controllers, 0)
+		result.rankedLen = size/len(result.locations) + extraRanked
+		result.setRemaining(size * len(result.subsets))
 		for round := range size {
-			for controller := range d.subsets {
-				location := d.locationFor(controller, round, size)
-				want := d.searchBest(controller, d.locations[location])
-				if got := d.bestAvailable(controller, location); got != want {
+			for controller := range result.subsets {
+				location := result.locationFor(controller, round, size)
+				want := result.searchBest(controller, result.locations[location])
+				if got := result.bestAvailable(controller, location); got != want {
 					t.Fatalf("controller %d takes engine %d, but ranks engine %d highest", controller, got, want)
 				}
-				d.assignNext(controller, location)
+				result.assignNext(controller, location)
 			}
 		}
 	})
--- a/decide/tally/tally.go
+++ b/decide/tally/tally.go
@@ -129,7 +129,7 @@
 			return // of another version or malformed; the entries before it count
 		}
 		data = rest
-		age := e.sentAt // read stores the reported age here
+		age := e.sentAt // readEntry stores the reported age here
 		if e.sentAt = never; asked >= 0 && age >= 0 {
 			e.sentAt = now - asked - age
 		}
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -47,9 +47,9 @@
 	}
 	// The report of a new incarnation replaces that of the old one; a late report of the old one is ignored.
 	late := b.Pack(0, "a", 400)
-	again := New("b", 2, 10)
-	again.Set(openJobs, 1)
-	a.Unpack(21*second, "b", 2, 0, again.Pack(0, "a", 400))
+	restarted := New("b", 2, 10)
+	restarted.Set(openJobs, 1)
+	a.Unpack(21*second, "b", 2, 0, restarted.Pack(0, "a", 400))
 	a.Unpack(21*second, "b", 1, 0, late)
 	if s := a.Sum(21*second, openJobs, 5*second, present, 0); s.Least != 4 {
 		t.Errorf("%+v", s)
@@ -113,14 +113,14 @@
 				}
 				to.Unpack(now, s.from, s.life, now-s.at, s.data)
 				for name, e := range to.others {
-					if was, is := before[name]; is && (e.life < was.life || e.life == was.life && (e.version < was.version || e.sentAt < was.sentAt)) {
-						t.Fatalf("%s: report %+v replaced by the older %+v", name, was, *e)
+					if old, existed := before[name]; existed && (e.life < old.life || e.life == old.life && (e.version < old.version || e.sentAt < old.sentAt)) {
+						t.Fatalf("%s: report %+v replaced by the older %+v", name, old, *e)
 					}
 				}
 			}
-			for n, x := range all {
+			for n, instance := range all {
 				for m := range all {
-					e := x.others[nameOf(m)]
+					e := instance.others[nameOf(m)]
 					if e == nil {
 						continue
 					}
--- a/decide/thin/thin_test.go
+++ b/decide/thin/thin_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// scenario is a scenario: the true slowness of each engine.
+// scenario gives the true slowness of each engine.
 type scenario struct {
 	name     string
 	slowness func(engine int) float64
@@ -98,12 +98,12 @@
 	for range 100 {
 		answer(rng.Intn(8), 1.2)
 	}
-	calm := estimates[3].Slow(now)
+	before := estimates[3].Slow(now)
 	for n := 1; ; n++ {
 		answer(3, 4)
 		answer(rng.Intn(3), 1.2)
 		if slow := estimates[3].Slow(now); slow > 2.2 {
-			t.Logf("slowness after %d slow answers: %.2f (%.2f before)", n, slow, calm)
+			t.Logf("slowness after %d slow answers: %.2f (%.2f before)", n, slow, before)
 			break
 		} else if n > 8 {
 			t.Fatalf("slowness is only %.2f after %d slow answers", slow, n)
