--- a/decide/invariant/invariant_test.go
+++ b/decide/invariant/invariant_test.go
@@ -53,13 +53,13 @@
 // TestEnds checks the rules about late answers, closed connections and the end of the process, and the names of violations.
 func TestEnds(t *testing.T) {
 	if Answer(1500*ms, 1000*ms) != None || Answer(1501*ms, 1000*ms) != AnsweredOverdue {
-		t.Error("wrong result of Answer")
+		t.Error("answer")
 	}
 	if Close(0, false) != None || Close(1, true) != None || Close(1, false) != ClosedWithJobs {
-		t.Error("wrong result of Close")
+		t.Error("close")
 	}
 	if End(0) != None || End(1) != EndedWithJobs {
-		t.Error("wrong result of End")
+		t.Error("end")
 	}
 	for v := range Count {
 		if Violation(v).String() == "" {
