--- a/decide/route/compare.go
+++ b/decide/route/compare.go
@@ -2,182 +2,183 @@
 
 import "slices"
 
-// mostWork bounds the pairs of boxes that one question about a plan may look at; past it the answer is "not known",
-// which warns of nothing. Ten thousand routes that overlap little stay far below.
-const mostWork = 200_000_000
+// maxComparisons bounds the number of pairs of boxes that one analysis of a plan may compare. Past it the result is
+// unknown, and nothing is reported. Ten thousand routes that overlap little stay far below the bound.
+const maxComparisons = 200_000_000
 
-// mostPieces bounds what a route is cut into by those before it.
-const mostPieces = 512
+// maxPieces bounds the number of boxes that remain of a route after those of the routes before it are subtracted.
+const maxPieces = 512
 
-// expanded is a plan multiplied out.
-type expanded struct {
-	boxes [][]box
-	wide  []bool // no boxes: too many
-	lists [texts]struct {
-		by   map[string][]int // routes all of whose boxes allow only literals, by literal
-		open []int            // all others
+// planIndex has the boxes of all routes of a plan, and finds the routes that may overlap a box.
+type planIndex struct {
+	boxes   [][]box
+	tooWide []bool // routes that expand to too many boxes; these have none here
+	fields  [textFields]struct {
+		byLiteral map[string][]int // routes whose boxes all allow only literals in the field, by literal
+		unindexed []int            // all other routes
 	}
 }
 
-func expand(p *Plan) *expanded {
-	x := &expanded{boxes: make([][]box, len(p.Routes)), wide: make([]bool, len(p.Routes))}
-	for f := range x.lists {
-		x.lists[f].by = map[string][]int{}
+func newPlanIndex(plan *Plan) *planIndex {
+	index := &planIndex{boxes: make([][]box, len(plan.Routes)), tooWide: make([]bool, len(plan.Routes))}
+	for f := range index.fields {
+		index.fields[f].byLiteral = map[string][]int{}
 	}
-	for n, r := range p.Routes {
-		boxes, ok := r.Match.all()
-		x.boxes[n], x.wide[n] = boxes, !ok
-		for f := range x.lists {
-			l := &x.lists[f]
-			if !ok || slices.ContainsFunc(boxes, func(b box) bool { return !b.texts[f].done }) {
-				l.open = append(l.open, n)
+	for n, r := range plan.Routes {
+		boxes, ok := r.Match.allBoxes()
+		index.boxes[n], index.tooWide[n] = boxes, !ok
+		for f := range index.fields {
+			fieldLists := &index.fields[f]
+			if !ok || slices.ContainsFunc(boxes, func(b box) bool { return !b.texts[f].onlyLiterals }) {
+				fieldLists.unindexed = append(fieldLists.unindexed, n)
 				continue
 			}
 			for _, b := range boxes {
-				for _, p := range b.texts[f].any[0] {
-					text, _ := p.Literal()
-					if own := l.by[text]; len(own) == 0 || own[len(own)-1] != n {
-						l.by[text] = append(own, n)
+				for _, plan := range b.texts[f].included[0] {
+					text, _ := plan.Literal()
+					if routes := fieldLists.byLiteral[text]; len(routes) == 0 || routes[len(routes)-1] != n {
+						fieldLists.byLiteral[text] = append(routes, n)
 					}
 				}
 			}
 		}
 	}
-	return x
+	return index
 }
 
-// near lists, in order, the routes that may have something in common with a box.
-func (x *expanded) near(b *box) []int {
-	var least []int
+// candidates returns, in order, the routes that may have jobs in common with a box.
+func (index *planIndex) candidates(b *box) []int {
+	var shortest []int
 	found := false
-	for f := range x.lists {
-		if !b.texts[f].done {
+	for f := range index.fields {
+		if !b.texts[f].onlyLiterals {
 			continue
 		}
-		list := slices.Clone(x.lists[f].open)
-		for _, p := range b.texts[f].any[0] {
-			text, _ := p.Literal()
-			list = append(list, x.lists[f].by[text]...)
+		routes := slices.Clone(index.fields[f].unindexed)
+		for _, pattern := range b.texts[f].included[0] {
+			text, _ := pattern.Literal()
+			routes = append(routes, index.fields[f].byLiteral[text]...)
 		}
-		if !found || len(list) < len(least) {
-			least, found = list, true
+		if !found || len(routes) < len(shortest) {
+			shortest, found = routes, true
 		}
 	}
 	if found {
-		slices.Sort(least)
-		return slices.Compact(least)
+		slices.Sort(shortest)
+		return slices.Compact(shortest)
 	}
-	all := make([]int, len(x.boxes))
+	all := make([]int, len(index.boxes))
 	for n := range all {
 		all[n] = n
 	}
 	return all
 }
 
-// Unreached tells of a route that no job can come to, as those before it take them all.
+// Unreached is a route that no job can reach, because the routes before it take all jobs that it matches.
 type Unreached struct {
 	Route  *Route
-	Behind []*Route // that take its jobs, in order; empty where its match holds for no job at all
+	Behind []*Route // the routes that take its jobs, in order; empty if no job at all satisfies its match
 }
 
-// Unreached finds the routes that no job can come to. It is exact but for routes whose match is too wide to be
-// multiplied out and for questions past its bounds, which are left out.
+// Unreached returns the routes that no job can reach. It leaves out routes whose match expands to too many boxes and
+// those for which the analysis reaches its bounds; for all others the result is exact.
 func (p *Plan) Unreached() (found []Unreached) {
-	x, table := expand(p), NewTable(p, nil)
+	index, table := newPlanIndex(p), NewTable(p, nil)
 	work := 0
 	for n, r := range p.Routes {
-		// Most routes show at once that some job comes to them.
-		if x.wide[n] || slices.ContainsFunc(x.boxes[n], func(b box) bool {
-			return b.likely(8, func(j *Job) bool { return table.Find(j) == r })
+		// For most routes, one of a few example jobs shows that the route is reached.
+		if index.tooWide[n] || slices.ContainsFunc(index.boxes[n], func(b box) bool {
+			return b.tryExamples(8, func(j *Job) bool { return table.Find(j) == r })
 		}) {
 			continue
 		}
-		var behind []int
+		var covering []int
 		unknown := false
-		left := slices.DeleteFunc(slices.Clone(x.boxes[n]), func(b box) bool {
-			_, some, known := b.example()
-			return known && !some
+		uncovered := slices.DeleteFunc(slices.Clone(index.boxes[n]), func(b box) bool {
+			_, nonEmpty, known := b.example()
+			return known && !nonEmpty
 		})
-		for at := 0; at < len(left); at++ {
-			pieces := []box{left[at]}
-			for _, m := range x.near(&left[at]) {
-				if work += len(pieces); m >= n || len(pieces) == 0 || work > mostWork {
+		for at := 0; at < len(uncovered); at++ {
+			pieces := []box{uncovered[at]}
+			for _, m := range index.candidates(&uncovered[at]) {
+				if work += len(pieces); m >= n || len(pieces) == 0 || work > maxComparisons {
 					break
 				}
-				if x.wide[m] {
+				if index.tooWide[m] {
 					continue
 				}
-				next := subtract(pieces, x.boxes[m])
-				if len(next) > mostPieces {
+				next := subtractAll(pieces, index.boxes[m])
+				if len(next) > maxPieces {
 					unknown = true
 					break
 				}
-				if !slices.Contains(behind, m) && len(meetAll(pieces, x.boxes[m])) > 0 {
-					behind = append(behind, m)
+				if !slices.Contains(covering, m) && len(intersectAll(pieces, index.boxes[m])) > 0 {
+					covering = append(covering, m)
 				}
 				pieces = next
 			}
-			// What looks left may be empty: sets of texts are only decided at the end.
+			// The remaining pieces may be empty: subtraction does not decide whether a set of texts is.
 			unknown = unknown || slices.ContainsFunc(pieces, func(b box) bool {
-				_, some, known := b.example()
-				return some || !known
+				_, nonEmpty, known := b.example()
+				return nonEmpty || !known
 			})
-			if unknown || work > mostWork {
+			if unknown || work > maxComparisons {
 				break
 			}
 		}
-		if unknown || work > mostWork {
+		if unknown || work > maxComparisons {
 			continue
 		}
-		u := Unreached{Route: r}
-		slices.Sort(behind)
-		for _, m := range behind {
-			u.Behind = append(u.Behind, p.Routes[m])
+		unreached := Unreached{Route: r}
+		slices.Sort(covering)
+		for _, m := range covering {
+			unreached.Behind = append(unreached.Behind, p.Routes[m])
 		}
-		found = append(found, u)
+		found = append(found, unreached)
 	}
 	return found
 }
 
-// Moved tells of jobs that another version sends elsewhere.
+// Moved reports jobs that another version of the plan sends to another route.
 type Moved struct {
 	From, To *Route // nil: no route
 	Example  Job
 }
 
-// Differences lists the pairs of routes, of this version and of a later one, between which jobs move, each with one
-// such job. alike tells which routes treat jobs alike. complete is false where the bounds were met before the end.
-func (p *Plan) Differences(later *Plan, alike func(a, b *Route) bool) (moved []Moved, complete bool) {
-	a, b := expand(p), expand(later)
+// Differences returns the pairs of a route of this version and one of a later version between which jobs move, each with
+// an example. alike reports whether two routes treat jobs alike; such pairs are left out. complete is false if the
+// analysis reached its bounds, so that pairs may be missing.
+func (p *Plan) Differences(later *Plan, alike func(index, laterIndex *Route) bool) (moved []Moved, complete bool) {
+	index, laterIndex := newPlanIndex(p), newPlanIndex(later)
 	complete = true
 	work := 0
-	var claimed [][]box // what a route really takes, after those before it
+	var takenBy [][]box // for each route, the jobs that the routes before it leave to it
 	for n := range p.Routes {
-		own, ok := a.reach(n, &work)
+		taken, ok := index.effectiveBoxes(n, &work)
 		complete = complete && ok
-		claimed = append(claimed, own)
+		takenBy = append(takenBy, taken)
 	}
-	rest := []box{everything()}
+	unrouted := []box{unrestrictedBox()}
 	for n := range p.Routes {
-		if rest = subtract(rest, a.boxes[n]); len(rest) > mostPieces || a.wide[n] {
-			rest, complete = nil, false
+		if unrouted = subtractAll(unrouted, index.boxes[n]); len(unrouted) > maxPieces || index.tooWide[n] {
+			unrouted, complete = nil, false
 			break
 		}
 	}
 	for n := range len(p.Routes) + 1 {
 		var from *Route
-		pieces := rest
+		pieces := unrouted
 		if n < len(p.Routes) {
-			from, pieces = p.Routes[n], claimed[n]
+			from, pieces = p.Routes[n], takenBy[n]
 		}
-		seen := map[*Route]bool{}
+		reported := map[*Route]bool{}
 		compare := func(to *Route, common []box) {
-			if seen[to] || alike(from, to) {
+			if reported[to] || alike(from, to) {
 				return
 			}
 			for _, c := range common {
 				if job, found, known := c.example(); found {
-					seen[to] = true
+					reported[to] = true
 					moved = append(moved, Moved{from, to, job})
 					return
 				} else if !known {
@@ -186,84 +187,88 @@
 			}
 		}
 		for _, piece := range pieces {
-			left := []box{piece}
-			for _, m := range b.near(&piece) {
-				if work += len(left); work > mostWork {
+			remaining := []box{piece}
+			for _, m := range laterIndex.candidates(&piece) {
+				if work += len(remaining); work > maxComparisons {
 					return moved, false
 				}
-				if b.wide[m] {
+				if laterIndex.tooWide[m] {
 					complete = false
 					continue
 				}
-				compare(later.Routes[m], meetAll(left, b.boxes[m]))
-				if left = subtract(left, b.boxes[m]); len(left) == 0 {
+				compare(later.Routes[m], intersectAll(remaining, laterIndex.boxes[m]))
+				if remaining = subtractAll(remaining, laterIndex.boxes[m]); len(remaining) == 0 {
 					break
 				}
-				if len(left) > mostPieces {
+				if len(remaining) > maxPieces {
 					complete = false
 					break
 				}
 			}
-			compare(nil, left)
+			compare(nil, remaining)
 		}
 	}
 	return moved, complete
 }
 
-// reach is what route n takes after those before it.
-func (x *expanded) reach(n int, work *int) (own []box, complete bool) {
-	if x.wide[n] {
+// effectiveBoxes returns the jobs that route n takes: those of its match without those of the routes before it. complete
+// is false if the analysis reached its bounds.
+func (index *planIndex) effectiveBoxes(n int, work *int) (taken []box, complete bool) {
+	if index.tooWide[n] {
 		return nil, false
 	}
-	for _, b := range x.boxes[n] {
+	for _, b := range index.boxes[n] {
 		pieces := []box{b}
-		for _, m := range x.near(&b) {
+		for _, m := range index.candidates(&b) {
 			if m >= n || len(pieces) == 0 {
 				break
 			}
-			if *work += len(pieces); x.wide[m] || len(pieces) > mostPieces || *work > mostWork {
-				return own, false
+			if *work += len(pieces); index.tooWide[m] || len(pieces) > maxPieces || *work > maxComparisons {
+				return taken, false
 			}
-			pieces = subtract(pieces, x.boxes[m])
+			pieces = subtractAll(pieces, index.boxes[m])
 		}
-		own = append(own, pieces...)
+		taken = append(taken, pieces...)
 	}
-	return own, true
+	return taken, true
 }
 
-func subtract(from, what []box) []box {
-	for n := range what {
-		if !slices.ContainsFunc(from, func(b box) bool { return !b.apart(&what[n]) }) {
+// subtractAll returns the jobs that are in a box of from but in no box of what.
+func subtractAll(from, removed []box) []box {
+	for n := range removed {
+		if !slices.ContainsFunc(from, func(b box) bool { return !b.clearlyDisjoint(&removed[n]) }) {
 			continue
 		}
 		var next []box
 		for _, b := range from {
-			next = append(next, b.less(what[n])...)
+			next = append(next, b.subtract(removed[n])...)
 		}
 		from = next
 	}
 	return from
 }
 
-func meetAll(a, b []box) (out []box) {
+// intersectAll returns the jobs that are in both a box of a and a box of b.
+func intersectAll(a, b []box) (common []box) {
 	for n := range a {
 		for m := range b {
-			if a[n].apart(&b[m]) {
+			if a[n].clearlyDisjoint(&b[m]) {
 				continue
 			}
-			if both, some := a[n].with(b[m]); some {
-				out = append(out, both)
+			if overlap, nonEmpty := a[n].intersect(b[m]); nonEmpty {
+				common = append(common, overlap)
 			}
 		}
 	}
-	return out
+	return common
 }
 
-// Overlaps tells whether some job is meant by both matches; also where that can't be decided.
-func (r *Route) Overlaps(o *Route) bool {
-	a, ok := r.Match.all()
-	b, ok2 := o.Match.all()
-	return !ok || !ok2 || slices.ContainsFunc(meetAll(a, b), func(b box) bool {
+// Overlaps reports whether some job satisfies the matches of both routes. It also reports true if that cannot be
+// decided.
+func (r *Route) Overlaps(other *Route) bool {
+	a, ok := r.Match.allBoxes()
+	b, ok2 := other.Match.allBoxes()
+	return !ok || !ok2 || slices.ContainsFunc(intersectAll(a, b), func(b box) bool {
 		_, found, known := b.example()
 		return found || !known
 	})
--- a/decide/route/explain.go
+++ b/decide/route/explain.go
@@ -6,75 +6,75 @@
 	"time"
 )
 
-// Explanation tells where a job goes and why.
+// Explanation is the route that a job takes, with the reasons why the routes before it do not take it.
 type Explanation struct {
-	Route  *Route // nil: none takes it
+	Route  *Route // nil: no route matches
 	Passed []Passed
-	Pools  []PoolView // of the route, in order
+	Pools  []PoolView // the pools of the route, in order
 }
 
-// Passed is a route before the one that takes the job, with the term that keeps it from doing so.
+// Passed is a route before the one that takes the job, with the term of its match that the job does not satisfy.
 type Passed struct {
 	Route *Route
 	Why   string
 }
 
-// PoolView is a pool with its engines among those given.
+// PoolView is a pool and its members among the given engines.
 type PoolView struct {
 	Pool    *Pool
 	Engines []EngineID
-	Left    int    // engines that are no members
-	Stands  string // what the engines come to, against the minimum
-	Fit     bool
+	Left    int    // number of engines that are not members
+	Stands  string // number of members and the minimum, for display
+	Fit     bool   // whether the pool has its minimum of members
 }
 
-// Explain follows a job through a plan, with engines that are all taken to be usable.
-func (p *Plan) Explain(j *Job, engines []Engine) (e Explanation) {
+// Explain determines the route of a job and the members of its pools, and takes all given engines to be usable.
+func (p *Plan) Explain(j *Job, engines []Engine) (explanation Explanation) {
 	for _, r := range p.Routes {
-		why := r.Match.Against(j)
-		if why == "" && r.Match.Holds(j) {
-			e.Route = r
+		why := r.Match.Mismatch(j)
+		if why == "" && r.Match.Matches(j) {
+			explanation.Route = r
 			break
 		}
-		e.Passed = append(e.Passed, Passed{r, why})
+		explanation.Passed = append(explanation.Passed, Passed{r, why})
 	}
-	if e.Route == nil {
-		return e
+	if explanation.Route == nil {
+		return explanation
 	}
-	for _, pool := range e.Route.Pools {
-		v := PoolView{Pool: pool}
-		for n := range engines {
-			if pool.Has(&engines[n]) {
-				v.Engines = append(v.Engines, engines[n].ID)
+	for _, pool := range explanation.Route.Pools {
+		view := PoolView{Pool: pool}
+		for index := range engines {
+			if pool.Contains(&engines[index]) {
+				view.Engines = append(view.Engines, engines[index].ID)
 			} else {
-				v.Left++
+				view.Left++
 			}
 		}
-		least := max(pool.MinCount, 1)
+		minEngines := max(pool.MinCount, 1)
 		if pool.MinShare > 0 {
-			least = max(int(math.Ceil(pool.MinShare*float64(max(pool.Size, len(v.Engines)))-1e-9)), 1)
+			minEngines = max(int(math.Ceil(pool.MinShare*float64(max(pool.Size, len(view.Engines)))-1e-9)), 1)
 		}
-		v.Fit = len(v.Engines) >= least
-		v.Stands = fmt.Sprintf("%d engines, minimum %d", len(v.Engines), least)
-		e.Pools = append(e.Pools, v)
+		view.Fit = len(view.Engines) >= minEngines
+		view.Stands = fmt.Sprintf("%d engines, minimum %d", len(view.Engines), minEngines)
+		explanation.Pools = append(explanation.Pools, view)
 	}
-	return e
+	return explanation
 }
 
-// Limits puts a policy in words, empty where it sets nothing.
+// Limits describes the limits and waits that a policy sets, one string each.
 func (p *Policy) Limits() (words []string) {
-	say := func(set bool, format string, args ...any) {
+	add := func(set bool, format string, args ...any) {
 		if set {
 			words = append(words, fmt.Sprintf(format, args...))
 		}
 	}
-	say(p.MostOut > 0, "at most %d attempted", p.MostOut)
-	say(p.MostHeld > 0, "at most %d held", p.MostHeld)
-	say(p.Rate > 0, "%g jobs/s", p.Rate)
-	say(p.FurtherSet, "further attempts %g%% of jobs in %v and %d more", 100*p.FurtherShare, p.FurtherSpan, p.FurtherFree)
-	say(p.FurtherWait > 0, "further ones after %v", p.FurtherWait)
-	say(p.RepeatWindow > 0, "repeats within %v", p.RepeatWindow)
-	say(p.FallbackWait > 0, "fallback after %v", p.FallbackWait.Round(time.Millisecond))
-	say(p.EndWhenDown, "ended when no pool is usable")
+	add(p.MostOut > 0, "at most %d attempted", p.MostOut)
+	add(p.MostHeld > 0, "at most %d held", p.MostHeld)
+	add(p.Rate > 0, "%g jobs/s", p.Rate)
+	add(p.FurtherSet, "further attempts %g%% of jobs in %v and %d more", 100*p.FurtherShare, p.FurtherSpan, p.FurtherFree)
+	add(p.FurtherWait > 0, "further ones after %v", p.FurtherWait)
+	add(p.RepeatWindow > 0, "repeats within %v", p.RepeatWindow)
+	add(p.FallbackWait > 0, "fallback after %v", p.FallbackWait.Round(time.Millisecond))
+	add(p.EndWhenDown, "ended when no pool is usable")
 	return words
 }
--- a/decide/route/match.go
+++ b/decide/route/match.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Job is what the choice of a route may rest on.
+// Job has the properties of a job that a route can match.
 type Job struct {
-	Type, Customer, Front string        // Customer is empty where the front tells none
-	Tables                int64         // the group of tables, or Untold
-	Cost                  time.Duration // told work, core time; or Untold
-	Memory                int64         // told need in bytes, or Untold
-	Left                  time.Duration // time left when the job came
+	Type, Customer, Front string        // Customer is empty if the front does not provide it
+	Tables                int64         // number of the table group, or Untold
+	Cost                  time.Duration // declared work as core time, or Untold
+	Memory                int64         // declared memory in bytes, or Untold
+	Left                  time.Duration // time to the deadline when the job arrived
 }
 
-// Untold stands for a group of tables, a cost or a need that no one told. No comparison holds for it, so that "not" of one
-// does.
+// Untold marks a table group, a cost or a memory need that was not provided. It satisfies no comparison, so it
+// satisfies the negation of each.
 const Untold = -1
 
-// Field is one of the things that a term looks at.
+// Field is a property of a job that a term of a match tests.
 type Field int
 
 const (
@@ -32,10 +32,10 @@
 	Cost
 	Memory
 	Left
-	fields
+	fieldCount
 )
 
-const texts, figures = int(Tables), int(fields - Tables)
+const textFields, numberFields = int(Tables), int(fieldCount - Tables)
 
 func (f Field) String() string {
 	return [...]string{"type", "customer", "front", "tables", "cost", "memory", "left"}[f]
@@ -53,7 +53,7 @@
 	return j.Front
 }
 
-func (j *Job) figure(f Field) int64 {
+func (j *Job) number(f Field) int64 {
 	switch f {
 	case Tables:
 		return j.Tables
@@ -65,103 +65,104 @@
 	return int64(j.Left)
 }
 
-// Range is a closed range of whole figures: numbers of groups, nanoseconds or bytes.
+// Range is a closed range of integers: table group numbers, nanoseconds or bytes.
 type Range struct{ From, To int64 }
 
-// Op is the kind of a match.
+// Op is the operator of a match.
 type Op int
 
 const (
-	All Op = iota // holds for every job
+	All Op = iota // satisfied by every job
 	And
 	Or
 	Not
-	In // the field is one of Texts, or in one of Ranges
+	In // the field matches one of Texts, or is in one of Ranges
 )
 
-// Match is an expression over the fields of a job. The zero value holds for every job.
+// Match is a boolean expression over the fields of a job. The zero value and nil are satisfied by every job.
 type Match struct {
 	Op     Op
-	Of     []*Match // of And, Or (one or more) and Not (one)
+	Of     []*Match // operands: one or more of And and Or, one of Not
 	Field  Field
 	Texts  []Pattern
 	Ranges []Range
-	Source string // a term as the operators' file has it, for explanations
+	Source string // the term as written in the operators' file, for explanations
 
-	boxed atomic.Pointer[boxed]
+	cache atomic.Pointer[boxCache]
 }
 
-// boxed is a match multiplied out; many questions are asked of the same one.
-type boxed struct {
-	list []box
-	ok   bool
+// boxCache is the expansion of a match into boxes. It is kept because the same match is analyzed many times.
+type boxCache struct {
+	boxes []box
+	ok    bool
 }
 
-// all multiplies a match out, once.
-func (m *Match) all() ([]box, bool) {
+// allBoxes returns the boxes of a match, and false if there are too many. It computes them once.
+func (m *Match) allBoxes() ([]box, bool) {
 	if m == nil {
-		return []box{everything()}, true
+		return []box{unrestrictedBox()}, true
 	}
-	b := m.boxed.Load()
-	if b == nil {
-		b = &boxed{}
-		b.list, b.ok = m.boxes(false)
-		m.boxed.Store(b)
+	cached := m.cache.Load()
+	if cached == nil {
+		cached = &boxCache{}
+		cached.boxes, cached.ok = m.expand(false)
+		m.cache.Store(cached)
 	}
-	return b.list, b.ok
+	return cached.boxes, cached.ok
 }
 
-// Holds tells whether a job is one of those meant. It allocates nothing.
-func (m *Match) Holds(j *Job) bool {
+// Matches reports whether a job satisfies the match. It does not allocate.
+func (m *Match) Matches(j *Job) bool {
 	if m == nil {
 		return true
 	}
 	switch m.Op {
 	case And:
-		for _, of := range m.Of {
-			if !of.Holds(j) {
+		for _, operand := range m.Of {
+			if !operand.Matches(j) {
 				return false
 			}
 		}
 	case Or:
-		for _, of := range m.Of {
-			if of.Holds(j) {
+		for _, operand := range m.Of {
+			if operand.Matches(j) {
 				return true
 			}
 		}
 		return false
 	case Not:
-		return !m.Of[0].Holds(j)
+		return !m.Of[0].Matches(j)
 	case In:
 		if m.Field.isText() {
 			return matchesAny(m.Texts, j.text(m.Field))
 		}
-		return within(m.Ranges, j.figure(m.Field))
+		return inAnyRange(m.Ranges, j.number(m.Field))
 	}
 	return true
 }
 
-// Against names the term that keeps a job from being meant, or is empty for one that is.
-func (m *Match) Against(j *Job) string {
-	if m.Holds(j) {
+// Mismatch returns the term that a job does not satisfy, in the words of the operators' file, or an empty string if the
+// job matches.
+func (m *Match) Mismatch(j *Job) string {
+	if m.Matches(j) {
 		return ""
 	}
 	switch m.Op {
 	case And:
-		for _, of := range m.Of {
-			if why := of.Against(j); why != "" {
-				return why
+		for _, operand := range m.Of {
+			if mismatch := operand.Mismatch(j); mismatch != "" {
+				return mismatch
 			}
 		}
 	case Or:
-		why := ""
-		for n, of := range m.Of {
-			if n > 0 {
-				why += ", nor "
+		mismatch := ""
+		for position, operand := range m.Of {
+			if position > 0 {
+				mismatch += ", nor "
 			}
-			why += of.Against(j)
+			mismatch += operand.Mismatch(j)
 		}
-		return why
+		return mismatch
 	case Not:
 		return "not (" + m.Of[0].describe() + ")"
 	}
@@ -172,309 +173,314 @@
 	if m.Source != "" || len(m.Of) == 0 {
 		return m.Source
 	}
-	word := " and "
+	operator := " and "
 	switch m.Op {
 	case Or:
-		word = " or "
+		operator = " or "
 	case Not:
 		return "not (" + m.Of[0].describe() + ")"
 	}
-	out := ""
-	for n, of := range m.Of {
-		if n > 0 {
-			out += word
+	text := ""
+	for position, operand := range m.Of {
+		if position > 0 {
+			text += operator
 		}
-		if of.Op == Or || of.Op == And {
-			out += "(" + of.describe() + ")"
+		if operand.Op == Or || operand.Op == And {
+			text += "(" + operand.describe() + ")"
 		} else {
-			out += of.describe()
+			text += operand.describe()
 		}
 	}
-	return out
+	return text
 }
 
-func within(ranges []Range, n int64) bool {
+func inAnyRange(ranges []Range, value int64) bool {
 	for _, r := range ranges {
-		if n >= r.From && n <= r.To {
+		if value >= r.From && value <= r.To {
 			return true
 		}
 	}
 	return false
 }
 
-// mostBoxes bounds what one match may come to once multiplied out. Files written by hand stay below ten.
-const mostBoxes = 256
+// maxBoxes bounds the number of boxes that one match may expand to. Matches in files written by hand stay below ten.
+const maxBoxes = 256
 
-// boxes multiplies a match out into boxes whose union it is; false where there would be too many.
-func (m *Match) boxes(not bool) ([]box, bool) {
+// expand converts a match, or its negation, to its disjunctive normal form: boxes whose union is the set of jobs that
+// satisfy it. It returns false if there would be too many boxes.
+func (m *Match) expand(negated bool) ([]box, bool) {
 	if m == nil || m.Op == All {
-		if not {
+		if negated {
 			return nil, true
 		}
-		return []box{everything()}, true
+		return []box{unrestrictedBox()}, true
 	}
 	op := m.Op
-	if not && op == And {
+	if negated && op == And {
 		op = Or
-	} else if not && op == Or {
+	} else if negated && op == Or {
 		op = And
 	}
 	switch op {
 	case Not:
-		return m.Of[0].boxes(!not)
+		return m.Of[0].expand(!negated)
 	case Or:
-		var all []box
-		for _, of := range m.Of {
-			more, ok := of.boxes(not)
-			if all = append(all, more...); !ok || len(all) > mostBoxes {
+		var result []box
+		for _, operand := range m.Of {
+			operandBoxes, ok := operand.expand(negated)
+			if result = append(result, operandBoxes...); !ok || len(result) > maxBoxes {
 				return nil, false
 			}
 		}
-		return all, true
+		return result, true
 	case And:
-		all := []box{everything()}
-		for _, of := range m.Of {
-			more, ok := of.boxes(not)
-			if !ok || len(all)*len(more) > 16*mostBoxes {
+		result := []box{unrestrictedBox()}
+		for _, operand := range m.Of {
+			operandBoxes, ok := operand.expand(negated)
+			if !ok || len(result)*len(operandBoxes) > 16*maxBoxes {
 				return nil, false
 			}
 			var next []box
-			for _, a := range all {
-				for _, b := range more {
-					if both, some := a.with(b); some {
-						next = append(next, both)
+			for _, a := range result {
+				for _, current := range operandBoxes {
+					if common, nonEmpty := a.intersect(current); nonEmpty {
+						next = append(next, common)
 					}
 				}
 			}
-			if all = next; len(all) > mostBoxes {
+			if result = next; len(result) > maxBoxes {
 				return nil, false
 			}
 		}
-		return all, true
+		return result, true
 	}
-	b := everything()
+	current := unrestrictedBox()
 	if m.Field.isText() {
-		if not {
-			b.texts[m.Field].none = m.Texts
+		if negated {
+			current.texts[m.Field].excluded = m.Texts
 		} else {
-			b.texts[m.Field].any = [][]Pattern{m.Texts}
+			current.texts[m.Field].included = [][]Pattern{m.Texts}
 		}
-		b.texts[m.Field] = b.texts[m.Field].simple()
+		current.texts[m.Field] = current.texts[m.Field].simplify()
 	} else {
-		r := sortRanges(m.Ranges)
-		if not {
-			r = without(r)
+		ranges := normalizeRanges(m.Ranges)
+		if negated {
+			ranges = complementRanges(ranges)
 		}
-		b.figures[m.Field-Tables] = meet(b.figures[m.Field-Tables], r)
+		current.numbers[m.Field-Tables] = intersectRanges(current.numbers[m.Field-Tables], ranges)
 	}
-	if _, some := b.with(everything()); !some {
+	if _, nonEmpty := current.intersect(unrestrictedBox()); !nonEmpty {
 		return nil, true
 	}
-	return []box{b}, true
+	return []box{current}, true
 }
 
-// TooWide tells that a match comes to more than 256 combinations once multiplied out, which is not taken.
+// TooWide reports whether a match expands to more than 256 combinations, which the operators' file may not have.
 func (m *Match) TooWide() bool {
-	_, ok := m.all()
+	_, ok := m.allBoxes()
 	return !ok
 }
 
-// box is a set of jobs: each field by itself is in a set.
+// box is a set of jobs given by one independent set of values for each field: a conjunction of conditions.
 type box struct {
-	texts   [texts]textSet
-	figures [figures][]Range // sorted and apart
+	texts   [textFields]textSet
+	numbers [numberFields][]Range // sorted and disjoint
 }
 
-var whole = []Range{{Untold, math.MaxInt64}}
+var allNumbers = []Range{{Untold, math.MaxInt64}}
 
-func everything() (b box) {
-	for n := range b.figures {
-		b.figures[n] = whole
+func unrestrictedBox() (b box) {
+	for n := range b.numbers {
+		b.numbers[n] = allNumbers
 	}
-	b.figures[Left-Tables] = []Range{{0, math.MaxInt64}} // always known
+	b.numbers[Left-Tables] = []Range{{0, math.MaxInt64}} // never Untold
 	return b
 }
 
-// with is what both have in common, and whether that may be anything.
-func (b box) with(o box) (both box, some bool) {
-	for f := range b.figures {
-		if both.figures[f] = meet(b.figures[f], o.figures[f]); len(both.figures[f]) == 0 {
-			return both, false
+// intersect returns the jobs that are in both boxes. nonEmpty is false if there clearly are none; example decides the
+// other cases.
+func (b box) intersect(other box) (common box, nonEmpty bool) {
+	for f := range b.numbers {
+		if common.numbers[f] = intersectRanges(b.numbers[f], other.numbers[f]); len(common.numbers[f]) == 0 {
+			return common, false
 		}
 	}
 	for f := range b.texts {
-		if both.texts[f] = b.texts[f].with(o.texts[f]); both.texts[f].never() {
-			return both, false
+		if common.texts[f] = b.texts[f].intersect(other.texts[f]); common.texts[f].clearlyEmpty() {
+			return common, false
 		}
 	}
-	return both, true
+	return common, true
 }
 
-// apart tells quickly that two boxes have nothing in common.
-func (b *box) apart(o *box) bool {
-	for f := range b.figures {
-		x, y := b.figures[f], o.figures[f]
-		if len(x) == 0 || len(y) == 0 || x[0].From > y[len(y)-1].To || y[0].From > x[len(x)-1].To {
+// clearlyDisjoint is a quick test that two boxes have no job in common. It may report false for some that have none.
+func (b *box) clearlyDisjoint(other *box) bool {
+	for f := range b.numbers {
+		ranges, otherRanges := b.numbers[f], other.numbers[f]
+		if len(ranges) == 0 || len(otherRanges) == 0 || ranges[0].From > otherRanges[len(otherRanges)-1].To || otherRanges[0].From > ranges[len(ranges)-1].To {
 			return true
 		}
 	}
 	for f := range b.texts {
-		if b.texts[f].clearlyApart(&o.texts[f]) {
+		if b.texts[f].clearlyDisjoint(&other.texts[f]) {
 			return true
 		}
 	}
 	return false
 }
 
-// less is what remains of b without o, as boxes.
-func (b box) less(o box) []box {
-	if b.apart(&o) {
+// subtract returns the jobs of b that are not in o, as boxes.
+func (b box) subtract(other box) []box {
+	if b.clearlyDisjoint(&other) {
 		return []box{b}
 	}
-	var rest []box
+	var remainder []box
 	inside := b
-	for f := range b.figures {
-		if out := meet(inside.figures[f], without(o.figures[f])); len(out) > 0 {
+	for f := range b.numbers {
+		if outside := intersectRanges(inside.numbers[f], complementRanges(other.numbers[f])); len(outside) > 0 {
 			piece := inside
-			piece.figures[f] = out
-			rest = append(rest, piece)
+			piece.numbers[f] = outside
+			remainder = append(remainder, piece)
 		}
-		if inside.figures[f] = meet(inside.figures[f], o.figures[f]); len(inside.figures[f]) == 0 {
-			return rest
+		if inside.numbers[f] = intersectRanges(inside.numbers[f], other.numbers[f]); len(inside.numbers[f]) == 0 {
+			return remainder
 		}
 	}
 	for f := range b.texts {
-		for _, out := range o.texts[f].others() {
+		for _, outside := range other.texts[f].complement() {
 			piece := inside
-			if piece.texts[f] = inside.texts[f].with(out); !piece.texts[f].never() {
-				rest = append(rest, piece)
+			if piece.texts[f] = inside.texts[f].intersect(outside); !piece.texts[f].clearlyEmpty() {
+				remainder = append(remainder, piece)
 			}
 		}
-		if inside.texts[f] = inside.texts[f].with(o.texts[f]); inside.texts[f].never() {
-			return rest
+		if inside.texts[f] = inside.texts[f].intersect(other.texts[f]); inside.texts[f].clearlyEmpty() {
+			return remainder
 		}
 	}
-	return rest
+	return remainder
 }
 
-func (b *box) holds(j *Job) bool {
+func (b *box) contains(j *Job) bool {
 	for f := range b.texts {
-		if !b.texts[f].holds(j.text(Field(f))) {
+		if !b.texts[f].contains(j.text(Field(f))) {
 			return false
 		}
 	}
-	for f := range b.figures {
-		if r := b.figures[f]; !within(r, j.figure(Tables+Field(f))) {
+	for f := range b.numbers {
+		if ranges := b.numbers[f]; !inAnyRange(ranges, j.number(Tables+Field(f))) {
 			return false
 		}
 	}
 	return true
 }
 
-// example gives a job of the box. known is false where none was found within the bounds of the search.
+// example returns a job of the box. known is false if the search reached its bound without an answer.
 func (b *box) example() (j Job, found, known bool) {
-	words := [texts]string{}
+	values := [textFields]string{}
 	for f := range b.texts {
-		if t := &b.texts[f]; Field(f) != Type && len(t.any) == 0 && len(t.none) == 0 {
-			continue // not told, as it does not matter
+		if set := &b.texts[f]; Field(f) != Type && len(set.included) == 0 && len(set.excluded) == 0 {
+			continue // any text will do, so leave it empty
 		}
-		if words[f], found, known = b.texts[f].example(); !found {
+		if values[f], found, known = b.texts[f].example(); !found {
 			return j, false, known
 		}
 	}
-	return b.job(words, 0), true, true
+	return b.exampleJob(values, 0), true, true
 }
 
-// job fills in the figures of an example, in one of several ways.
-func (b *box) job(words [texts]string, way int) Job {
+// exampleJob returns a job with the given texts and with numbers from the box. The variant selects among the ranges and
+// their bounds.
+func (b *box) exampleJob(values [textFields]string, variant int) Job {
 	pick := func(f Field) int64 {
-		r := b.figures[f-Tables]
-		if r[0] == whole[0] {
+		ranges := b.numbers[f-Tables]
+		if ranges[0] == allNumbers[0] {
 			return Untold
 		}
-		if len(r) > 1 && r[0].To < 0 {
-			r = r[1:] // rather told than not
+		if len(ranges) > 1 && ranges[0].To < 0 {
+			ranges = ranges[1:] // prefer a number to Untold
 		}
-		x := r[way%len(r)]
+		selected := ranges[variant%len(ranges)]
 		switch {
-		case x.From < 0:
-			return min(x.To, 1)
-		case way&(1<<f) != 0 && x.To < math.MaxInt64:
-			return x.To
+		case selected.From < 0:
+			return min(selected.To, 1)
+		case variant&(1<<f) != 0 && selected.To < math.MaxInt64:
+			return selected.To
 		case f == Left:
-			return max(x.From, min(x.To, int64(time.Second)))
+			return max(selected.From, min(selected.To, int64(time.Second)))
 		}
-		return x.From
+		return selected.From
 	}
-	return Job{Type: words[Type], Customer: words[Customer], Front: words[Front], Tables: pick(Tables),
+	return Job{Type: values[Type], Customer: values[Customer], Front: values[Front], Tables: pick(Tables),
 		Cost: time.Duration(pick(Cost)), Memory: pick(Memory), Left: time.Duration(pick(Left))}
 }
 
-// likely gives a few jobs of the box that differ, without a search.
-func (b *box) likely(ways int, try func(*Job) bool) bool {
-	for way := range ways {
-		words := [texts]string{}
+// tryExamples passes a few different jobs of the box to a function until it returns true, and reports whether it did.
+// The jobs are derived from the patterns without a search, so there may be none.
+func (b *box) tryExamples(variants int, try func(*Job) bool) bool {
+	for variant := range variants {
+		values := [textFields]string{}
 		for f := range b.texts {
 			set := &b.texts[f]
-			list := []Pattern{"*"}
-			if len(set.any) > 0 {
-				list = set.any[0]
+			patterns := []Pattern{"*"}
+			if len(set.included) > 0 {
+				patterns = set.included[0]
 			}
-			if len(list) == 0 {
+			if len(patterns) == 0 {
 				return false
 			}
-			if words[f] = list[(way+f)%len(list)].fill([...]string{"x", "q7-", ""}[way%3]); !set.holds(words[f]) {
+			if values[f] = patterns[(variant+f)%len(patterns)].sample([...]string{"x", "q7-", ""}[variant%3]); !set.contains(values[f]) {
 				break
 			}
 		}
-		if j := b.job(words, way); b.holds(&j) && try(&j) {
+		if j := b.exampleJob(values, variant); b.contains(&j) && try(&j) {
 			return true
 		}
 	}
 	return false
 }
 
-func sortRanges(r []Range) []Range {
-	var out []Range
-	for _, next := range sortedRanges(r) {
+// normalizeRanges returns the union of ranges as sorted, disjoint ranges, without empty ones.
+func normalizeRanges(ranges []Range) []Range {
+	var merged []Range
+	for _, next := range sortedCopy(ranges) {
 		if next.From > next.To {
 			continue
 		}
-		if n := len(out); n > 0 && (out[n-1].To == math.MaxInt64 || next.From <= out[n-1].To+1) {
-			out[n-1].To = max(out[n-1].To, next.To)
+		if count := len(merged); count > 0 && (merged[count-1].To == math.MaxInt64 || next.From <= merged[count-1].To+1) {
+			merged[count-1].To = max(merged[count-1].To, next.To)
 		} else {
-			out = append(out, next)
+			merged = append(merged, next)
 		}
 	}
-	return out
+	return merged
 }
 
-// without is all figures outside of sorted ranges.
-func without(r []Range) (out []Range) {
-	from := int64(Untold)
-	for _, x := range r {
-		if x.From > from {
-			out = append(out, Range{from, x.From - 1})
+// complementRanges returns all numbers outside of normalized ranges, Untold included.
+func complementRanges(ranges []Range) (result []Range) {
+	start := int64(Untold)
+	for _, excluded := range ranges {
+		if excluded.From > start {
+			result = append(result, Range{start, excluded.From - 1})
 		}
-		if x.To == math.MaxInt64 {
-			return out
+		if excluded.To == math.MaxInt64 {
+			return result
 		}
-		from = max(from, x.To+1)
+		start = max(start, excluded.To+1)
 	}
-	return append(out, Range{from, math.MaxInt64})
+	return append(result, Range{start, math.MaxInt64})
 }
 
-func meet(a, b []Range) []Range {
-	if len(a) == 1 && a[0] == whole[0] {
+func intersectRanges(a, b []Range) []Range {
+	if len(a) == 1 && a[0] == allNumbers[0] {
 		return b
 	}
-	if len(b) == 1 && b[0] == whole[0] {
+	if len(b) == 1 && b[0] == allNumbers[0] {
 		return a
 	}
-	var out []Range
+	var common []Range
 	for len(a) > 0 && len(b) > 0 {
-		if r := (Range{max(a[0].From, b[0].From), min(a[0].To, b[0].To)}); r.From <= r.To {
-			out = append(out, r)
+		if overlap := (Range{max(a[0].From, b[0].From), min(a[0].To, b[0].To)}); overlap.From <= overlap.To {
+			common = append(common, overlap)
 		}
 		if a[0].To < b[0].To {
 			a = a[1:]
@@ -482,13 +488,13 @@
 			b = b[1:]
 		}
 	}
-	return out
+	return common
 }
 
-func sortedRanges(r []Range) []Range {
-	r = slices.Clone(r)
-	slices.SortFunc(r, func(a, b Range) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
-	return r
+func sortedCopy(ranges []Range) []Range {
+	ranges = slices.Clone(ranges)
+	slices.SortFunc(ranges, func(a, b Range) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
+	return ranges
 }
 
 func (m *Match) String() string {
--- a/decide/route/match_test.go
+++ b/decide/route/match_test.go
@@ -8,86 +8,90 @@
 	"pgregory.net/rapid"
 )
 
-// plain matches a pattern the slow way.
-func plain(parts []rune, text []rune) bool {
+// matchRecursively is a simple reference implementation of Pattern.Matches.
+func matchRecursively(parts []rune, text []rune) bool {
 	if len(parts) == 0 {
 		return len(text) == 0
 	}
-	if parts[0] == anything {
-		return plain(parts[1:], text) || len(text) > 0 && plain(parts, text[1:])
+	if parts[0] == anySequence {
+		return matchRecursively(parts[1:], text) || len(text) > 0 && matchRecursively(parts, text[1:])
 	}
-	return len(text) > 0 && (parts[0] == anyOne || parts[0] == text[0]) && plain(parts[1:], text[1:])
+	return len(text) > 0 && (parts[0] == anyCharacter || parts[0] == text[0]) && matchRecursively(parts[1:], text[1:])
 }
 
+// TestPatterns checks the methods of a pattern against the reference implementation and against each other.
 func TestPatterns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Pattern(rapid.StringMatching(`[abñ*?\\]{0,6}`).Draw(t, "pattern"))
 		text := rapid.StringMatching(`[abñ*\\]{0,6}`).Draw(t, "text")
-		if got, want := p.Matches(text), plain(p.parts(), []rune(text)); got != want {
-			t.Fatalf("%q on %q: %v, wanted %v", p, text, got, want)
+		if got, want := p.Matches(text), matchRecursively(p.tokens(), []rune(text)); got != want {
+			t.Fatalf("%q on %q: got %v, want %v", p, text, got, want)
 		}
 		if !Escape(text).Matches(text) {
-			t.Fatalf("escaped %q", text)
+			t.Fatalf("Escape(%q) does not match its own text", text)
 		}
-		if word, is := p.Literal(); is && (!p.Matches(word) || Escape(word).Matches(text) != p.Matches(text)) {
-			t.Fatalf("%q is not the literal %q", p, word)
+		if literal, isLiteral := p.Literal(); isLiteral && (!p.Matches(literal) || Escape(literal).Matches(text) != p.Matches(text)) {
+			t.Fatalf("%q does not match exactly its literal %q", p, literal)
 		}
-		if p.Matches(text) && !strings.HasPrefix(text, p.prefix()) {
-			t.Fatalf("%q on %q: prefix %q", p, text, p.prefix())
+		if p.Matches(text) && !strings.HasPrefix(text, p.literalPrefix()) {
+			t.Fatalf("%q matches %q, which does not begin with its literal prefix %q", p, text, p.literalPrefix())
 		}
 	})
 }
 
-// TestHostilePattern: one that makes naive matchers take exponential time.
+// TestHostilePattern uses a pattern for which a naive backtracking matcher takes exponential time.
 func TestHostilePattern(t *testing.T) {
 	p, text := Pattern(strings.Repeat("*a", 200)+"b"), strings.Repeat("a", 5000)
 	if p.Matches(text) || !Pattern(strings.Repeat("*a", 200)).Matches(text) {
-		t.Error("wrong")
+		t.Error("wrong result for a pattern of 200 wildcards")
 	}
 }
 
-// TestBoxes: a match and its boxes mean the same jobs, and boxes subtract as sets do.
+// TestBoxes checks that the boxes of a match contain the jobs that satisfy it, and that negation, subtraction and
+// intersection of boxes have the result that they have for sets.
 func TestBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, o := someMatch(t, 3), someMatch(t, 2)
-		a, ok := m.boxes(false)
-		b, ok2 := o.boxes(false)
-		no, ok3 := m.boxes(true)
+		m, o := randomMatch(t, 3), randomMatch(t, 2)
+		boxesA, ok := m.expand(false)
+		boxesB, ok2 := o.expand(false)
+		negation, ok3 := m.expand(true)
 		if !ok || !ok2 || !ok3 {
-			t.Skip("too wide")
+			t.Skip("the match expands to too many boxes")
 		}
-		rest, both := subtract(a, b), meetAll(a, b)
+		difference, common := subtractAll(boxesA, boxesB), intersectAll(boxesA, boxesB)
 		for range 20 {
-			j := someJob(t)
-			in := func(list []box) bool { return slices.ContainsFunc(list, func(b box) bool { return b.holds(&j) }) }
-			inA, inB := m.Holds(&j), o.Holds(&j)
-			if in(a) != inA || in(no) == inA || in(rest) != (inA && !inB) || in(both) != (inA && inB) {
-				t.Fatalf("%+v: %v %v, boxes %v, not %v, rest %v, both %v", j, inA, inB, in(a), in(no), in(rest), in(both))
+			j := randomJob(t)
+			contains := func(list []box) bool {
+				return slices.ContainsFunc(list, func(boxesB box) bool { return boxesB.contains(&j) })
 			}
-			if (m.Against(&j) == "") != inA {
-				t.Fatalf("%+v: against: %q", j, m.Against(&j))
+			inA, inB := m.Matches(&j), o.Matches(&j)
+			if contains(boxesA) != inA || contains(negation) == inA || contains(difference) != (inA && !inB) || contains(common) != (inA && inB) {
+				t.Fatalf("%+v: matches a %v, b %v; in boxes of a %v, not a %v, a without b %v, a and b %v", j, inA, inB, contains(boxesA), contains(negation), contains(difference), contains(common))
+			}
+			if (m.Mismatch(&j) == "") != inA {
+				t.Fatalf("%+v: the reported mismatch %q contradicts Matches", j, m.Mismatch(&j))
 			}
 		}
-		for _, list := range [][]box{a, no, rest, both} {
+		for _, list := range [][]box{boxesA, negation, difference, common} {
 			for n := range list {
-				if j, found, known := list[n].example(); found && !list[n].holds(&j) || found && !known {
-					t.Fatalf("%+v is no example of %+v", j, list[n])
+				if j, found, known := list[n].example(); found && !list[n].contains(&j) || found && !known {
+					t.Fatalf("example %+v is not in its box %+v", j, list[n])
 				}
 			}
 		}
 	})
 }
 
-// TestEmptySets: sets of texts that are empty for reasons that no single pattern shows.
+// TestEmptySets checks sets of texts where only the combination of the patterns decides whether the set is empty.
 func TestEmptySets(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		any  [][]Pattern
 		none []Pattern
 		want bool
 	}{
 		{[][]Pattern{{"a*"}, {"b*"}}, nil, false},
 		{[][]Pattern{{"a*"}, {"*b"}}, nil, true},
-		{[][]Pattern{{"a*"}, {"*a"}}, []Pattern{"a*a"}, true}, // a itself
+		{[][]Pattern{{"a*"}, {"*a"}}, []Pattern{"a*a"}, true}, // the text "a"
 		{[][]Pattern{{"a*"}, {"*a"}}, []Pattern{"a*a", "a"}, false},
 		{[][]Pattern{{"?*"}}, []Pattern{"a*", "[*", "??*", "b", "c"}, true},
 		{[][]Pattern{{"a?", "b?"}, {"?x"}}, []Pattern{"a*", "b*"}, false},
@@ -95,10 +99,10 @@
 		{nil, []Pattern{"?*", "?"}, true}, // the empty text
 		{nil, []Pattern{"*"}, false},
 	} {
-		s := textSet{any: c.any, none: c.none}.simple()
-		text, found, known := s.example()
-		if found != c.want || !known || found && !s.holds(text) {
-			t.Errorf("%v without %v: %q %v %v", c.any, c.none, text, found, known)
+		set := textSet{included: test.any, excluded: test.none}.simplify()
+		text, found, known := set.example()
+		if found != test.want || !known || found && !set.contains(text) {
+			t.Errorf("%v without %v: example %q, found %v, known %v", test.any, test.none, text, found, known)
 		}
 	}
 }
--- a/decide/route/meter.go
+++ b/decide/route/meter.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// meter counts what a route has and had, over all versions that know it by its name, so that a new version neither
-// forgives nor forgets.
+// meter holds the use of a route's limits and its counters. All versions that have a route of the same name share it,
+// so that adopting a new version does not reset the limits.
 type meter struct {
-	jobs, out int           // open; of them, attempted
-	tokens    float64       // of the rate
-	filled    time.Duration // when they were last
-	begun     bool          // ever
-	left      time.Duration // when a job last left the held ones, and the mean time between
-	between   float64
-	gaps      float64       // that it rests on
-	rateAt    time.Duration // until when the rate is promised to jobs that were told to come back
-	heldAt    time.Duration // the same for places among the held
-	spans     [budgetParts]span
-	Counts    Counts
+	openJobs, inFlight int           // open jobs, and those of them that have an attempt under way; the others are held
+	tokens             float64       // token bucket of the rate
+	refilledAt         time.Duration // time of the last refill
+	initialized        bool          // whether the bucket was ever filled
+	lastDeparture      time.Duration // when a job last left the held ones
+	meanInterval       float64       // moving average of the time between two departures, in nanoseconds
+	samples            float64       // number of intervals in the average, at most 10
+	rateReservedUntil  time.Duration // end of the time whose tokens are reserved for refused jobs that will be submitted again
+	placeReservedUntil time.Duration // the same for places among the held jobs
+	buckets            [budgetBuckets]budgetBucket
+	Counts             Counts
 }
 
-// Counts are a route's figures since the start.
+// Counts has the counters of a route since it got its first job.
 type Counts struct {
 	Taken, Fallback, Overflowed, Moved, GivenUp, Trials int64
 	Refused                                             [reasons]int64
 }
 
-// Reason is why a route turns a job away.
+// Reason is the reason for which a route refuses a job.
 type Reason int
 
 const (
@@ -42,88 +42,93 @@
 	return [...]string{"over the route's rate", "too many held", "no pool is usable"}[r]
 }
 
-// mostAhead bounds how far ahead places are promised; who is told more comes back to find the rate free.
-const mostAhead = time.Minute
+// maxReservation bounds how far ahead a token or a place is reserved for a refused job. A job that was told to wait for
+// longer would come back to find the rate unused.
+const maxReservation = time.Minute
 
-// rate takes a token, or tells when one will be there that is promised to nobody else.
-func (m *meter) rate(now time.Duration, p *Policy) (comeBack time.Duration, ok bool) {
+// takeToken takes a token of the route's rate. If there is none, it reserves a future one and returns the time until
+// then. No two refused jobs reserve the same token.
+func (m *meter) takeToken(now time.Duration, p *Policy) (retryAfter time.Duration, ok bool) {
 	if p.Rate == 0 {
 		return 0, true
 	}
-	most := math.Max(cmp.Or(p.Burst, p.Rate), 1)
-	if m.tokens = math.Min(m.tokens+p.Rate*(now-m.filled).Seconds(), most); !m.begun {
-		m.tokens, m.begun = most, true
+	capacity := math.Max(cmp.Or(p.Burst, p.Rate), 1)
+	if m.tokens = math.Min(m.tokens+p.Rate*(now-m.refilledAt).Seconds(), capacity); !m.initialized {
+		m.tokens, m.initialized = capacity, true
 	}
-	if m.filled = now; m.tokens >= 1 {
+	if m.refilledAt = now; m.tokens >= 1 {
 		m.tokens--
 		return 0, true
 	}
-	gap := 1 / p.Rate
-	first := now + seconds((1-m.tokens)*gap)
-	m.rateAt = min(max(m.rateAt+seconds(gap), first), now+mostAhead)
-	return m.rateAt - now, false
+	interval := 1 / p.Rate
+	earliest := now + seconds((1-m.tokens)*interval)
+	m.rateReservedUntil = min(max(m.rateReservedUntil+seconds(interval), earliest), now+maxReservation)
+	return m.rateReservedUntil - now, false
 }
 
 func seconds(s float64) time.Duration { return time.Duration(math.Min(s, 1e6) * float64(time.Second)) }
 
-// place tells whether one more may be held, or when a place will be free that is promised to nobody else.
-func (m *meter) place(now time.Duration, p *Policy) (comeBack time.Duration, ok bool) {
-	if p.MostHeld == 0 || m.jobs-m.out < p.MostHeld {
+// reservePlace reports whether one more job may be held. If not, it reserves a place that is expected to become free
+// and returns the time until then. No two refused jobs reserve the same place.
+func (m *meter) reservePlace(now time.Duration, p *Policy) (retryAfter time.Duration, ok bool) {
+	if p.MostHeld == 0 || m.openJobs-m.inFlight < p.MostHeld {
 		return 0, true
 	}
-	gap := time.Duration(m.between)
-	if gap == 0 {
-		gap = time.Second // nothing has left yet, so that nothing is known
+	interval := time.Duration(m.meanInterval)
+	if interval == 0 {
+		interval = time.Second // no job has departed yet, so the interval is unknown
 	}
-	// Where the route stands still, its mean says too little.
-	first := max(m.left+gap, now+gap/2, now+(now-m.left)/4)
-	m.heldAt = min(max(m.heldAt+gap, first), now+mostAhead)
-	return m.heldAt - now, false
+	// While no job departs, the average interval is too short an estimate.
+	earliest := max(m.lastDeparture+interval, now+interval/2, now+(now-m.lastDeparture)/4)
+	m.placeReservedUntil = min(max(m.placeReservedUntil+interval, earliest), now+maxReservation)
+	return m.placeReservedUntil - now, false
 }
 
-// departs learns how often a job leaves the held ones.
-func (m *meter) departs(now time.Duration) {
-	if m.left > 0 {
-		// Over some ten jobs, and a pause counts for no more than ten of them.
-		gap := float64(now - m.left)
-		if m.gaps = math.Min(m.gaps+1, 10); m.gaps > 3 {
-			gap = math.Min(gap, 10*math.Max(m.between, float64(time.Millisecond)))
+// recordDeparture updates the average interval at which jobs leave the held ones.
+func (m *meter) recordDeparture(now time.Duration) {
+	if m.lastDeparture > 0 {
+		// The average is over about ten jobs, and a pause counts as no more than ten average intervals.
+		interval := float64(now - m.lastDeparture)
+		if m.samples = math.Min(m.samples+1, 10); m.samples > 3 {
+			interval = math.Min(interval, 10*math.Max(m.meanInterval, float64(time.Millisecond)))
 		}
-		m.between += (gap - m.between) / m.gaps
+		m.meanInterval += (interval - m.meanInterval) / m.samples
 	}
-	m.left = now
+	m.lastDeparture = now
 }
 
-// The budget of further attempts counts by parts of its span. The part at the edge counts against the route:
-// its further attempts still, its jobs no more.
-const budgetParts = 16
+// The retry budget counts jobs and retries in buckets of its sliding window. The oldest bucket, which is partly outside
+// of the window, is counted against the route: its retries still count, its jobs no longer do.
+const budgetBuckets = 16
 
-type span struct {
-	number         int64
-	taken, further int
+// budgetBucket has the jobs admitted and the retries begun in one part of the window.
+type budgetBucket struct {
+	index         int64
+	jobs, retries int
 }
 
-func (m *meter) span(now time.Duration, p *Policy) *span {
-	number := int64(now / max(p.FurtherSpan/(budgetParts-1), 1))
-	s := &m.spans[number%budgetParts]
-	if s.number != number {
-		*s = span{number: number}
+// bucket returns the bucket of the current time, and resets it if it was last used for an earlier window.
+func (m *meter) bucket(now time.Duration, p *Policy) *budgetBucket {
+	number := int64(now / max(p.FurtherSpan/(budgetBuckets-1), 1))
+	s := &m.buckets[number%budgetBuckets]
+	if s.index != number {
+		*s = budgetBucket{index: number}
 	}
 	return s
 }
 
-// further tells whether the route's own budget has room for one more further attempt.
-func (m *meter) further(now time.Duration, p *Policy) bool {
+// retryAllowed reports whether the retry budget of the route allows one more retry.
+func (m *meter) retryAllowed(now time.Duration, p *Policy) bool {
 	if !p.FurtherSet {
 		return true
 	}
-	newest := m.span(now, p).number
+	newest := m.bucket(now, p).index
 	taken, further := 0, 0
-	for _, s := range m.spans {
-		if s.number > newest-budgetParts {
-			further += s.further
-			if s.number > newest-budgetParts+1 {
-				taken += s.taken
+	for _, s := range m.buckets {
+		if s.index > newest-budgetBuckets {
+			further += s.retries
+			if s.index > newest-budgetBuckets+1 {
+				taken += s.jobs
 			}
 		}
 	}
--- a/decide/route/plan.go
+++ b/decide/route/plan.go
@@ -1,10 +1,12 @@
-// Package route decides which engines a job may go to by the operators' routes, and what a route has no room for.
+// Package route decides by the operators' routes which engines a job may be sent to, and enforces the limits of a
+// route.
 //
-// A Plan is one version of the operators' file: routes in order, pools, policies. Table finds the route of a job
-// among many; Router keeps the state of a running controller: which version each job was taken under, which pools
-// are fit for use, what each route has out, held and spent. Nothing here sends, retries or answers: it narrows what
-// package logic may choose from, and tells the caller of jobs that have no place. There is no I/O and no clock; times
-// are whole nanoseconds.
+// A Plan is one version of the operators' file: an ordered list of routes with their policies, and the pools. A Table
+// finds the route of a job among many. A Router keeps the state of a running controller: the version that each job was
+// admitted under, the pools that are healthy, and for each route the attempts under way, the jobs held and the rate and
+// retry budget used. The package does not send, retry or answer jobs: it restricts the engines that package logic may
+// choose from, and notifies the caller of jobs that must be refused or ended. It has no I/O and no clock; the caller
+// passes the time as a Duration in whole nanoseconds.
 package route
 
 import (
@@ -14,7 +16,7 @@
 	"time"
 )
 
-// Ids and names, as the list of engines and the operators' file give them.
+// IDs and names as in the list of engines and in the operators' file.
 type (
 	JobID     string
 	EngineID  string
@@ -22,120 +24,124 @@
 	RouteName string
 )
 
-// Engine is what a pool may pick an engine by.
+// Engine has the properties of an engine that a pool can select by.
 type Engine struct {
 	ID             EngineID
 	Location, Kind string
 }
 
-// Members picks engines: all conditions that are given must hold, each with one of its patterns.
+// Members is a condition on engines. For each list that is not empty, the engine must match one of its patterns.
 type Members struct {
 	IDs, Locations, Kinds []Pattern
 }
 
-func (m *Members) picks(e *Engine) bool {
-	return (len(m.IDs) == 0 || matchesAny(m.IDs, string(e.ID))) &&
-		(len(m.Locations) == 0 || matchesAny(m.Locations, e.Location)) &&
-		(len(m.Kinds) == 0 || matchesAny(m.Kinds, e.Kind))
+func (m *Members) matches(engine *Engine) bool {
+	return (len(m.IDs) == 0 || matchesAny(m.IDs, string(engine.ID))) &&
+		(len(m.Locations) == 0 || matchesAny(m.Locations, engine.Location)) &&
+		(len(m.Kinds) == 0 || matchesAny(m.Kinds, engine.Kind))
 }
 
-// Pool is a set of engines under a name.
+// Pool is a named set of engines.
 type Pool struct {
 	Name PoolName
-	Any  [][]Members // an engine belongs to it that all conditions of one of these pick
-	// The least usable engines for the pool to be used: a number, or a share of Size. Both 0: one engine.
+	Any  [][]Members // an engine is a member if it meets all conditions of at least one inner list
+	// MinCount is the minimum number of usable engines for the pool to be used. If MinShare is set, the minimum is that
+	// share of Size instead. If both are 0, it is one engine.
 	MinCount int
 	MinShare float64 // 0 to 1
-	Size     int     // engines the pool should have; 0: the most it had within the last ten minutes
-	// Overflow is a pool whose engines a job may take as well once it was held for OverflowAfter; empty: none.
+	Size     int     // expected number of engines; 0: the maximum within the last ten minutes
+	// Overflow is a pool whose engines a job may use as well after it was held for OverflowAfter. Empty: none.
 	Overflow      PoolName
 	OverflowAfter time.Duration
 }
 
-// Has tells whether an engine is a member.
-func (p *Pool) Has(e *Engine) bool {
-	return slices.ContainsFunc(p.Any, func(of []Members) bool {
-		return !slices.ContainsFunc(of, func(m Members) bool { return !m.picks(e) })
+// Contains reports whether an engine is a member of the pool.
+func (p *Pool) Contains(engine *Engine) bool {
+	return slices.ContainsFunc(p.Any, func(conditions []Members) bool {
+		return !slices.ContainsFunc(conditions, func(condition Members) bool { return !condition.matches(engine) })
 	})
 }
 
-// Policy is what a route keeps to. A limit of zero is off.
+// Policy has the limits and waits of a route. A limit of zero is disabled.
 type Policy struct {
 	Name         string
-	MostOut      int     // attempts at once
-	MostHeld     int     // jobs held at once
-	Rate         float64 // jobs a second
-	Burst        float64 // jobs that may come at once within the rate; 0: a second's worth, at least 1
-	FurtherSet   bool    // whether further attempts have a budget of the route's own:
-	FurtherShare float64 // of the jobs taken in FurtherSpan
-	FurtherFree  int     // and as many more
-	FurtherSpan  time.Duration
-	FurtherWait  time.Duration // between the end of an attempt and the next of the job
-	RepeatWindow time.Duration // in which a job that may have run may go again; 0: the class's
-	FallbackWait time.Duration // a pool must be under its minimum for so long before the fallback takes over
-	ReturnWait   time.Duration // and fit for so long before it is used again
-	ReturnOver   time.Duration // over which its share of new jobs then grows from nothing to all
-	EndWhenDown  bool          // with no usable engine in any pool, jobs are ended at once and not held
+	MostOut      int           // maximum number of concurrent attempts
+	MostHeld     int           // maximum number of jobs held
+	Rate         float64       // jobs per second
+	Burst        float64       // size of the token bucket for Rate, in jobs; 0: the jobs of one second, at least 1
+	FurtherSet   bool          // whether the route has a retry budget of its own, given by the next three fields
+	FurtherShare float64       // retries allowed within FurtherSpan, as a share of the jobs admitted in it
+	FurtherFree  int           // retries allowed in addition to the share
+	FurtherSpan  time.Duration // sliding window of the retry budget
+	FurtherWait  time.Duration // delay from the end of an attempt to a retry
+	RepeatWindow time.Duration // time since its first attempt in which a job that may have run may be retried; 0: the class's
+	FallbackWait time.Duration // time that a pool must be below its minimum before its fallback is used
+	ReturnWait   time.Duration // time that a pool must be healthy again before it is used again
+	ReturnOver   time.Duration // time in which its share of new jobs then grows from none to all (slow start)
+	EndWhenDown  bool          // end jobs at once, and do not hold them, if no pool has a usable engine
 }
 
-// Route sends the jobs of a match to the engines of a pool.
+// Route sends the jobs that satisfy a match to the engines of a pool.
 type Route struct {
 	Name   RouteName
 	Match  *Match  // nil: every job
-	Pools  []*Pool // the pool, then its fallbacks in order; none: any engine
+	Pools  []*Pool // the primary pool, then its fallbacks in order; empty: any engine
 	Policy Policy
 }
 
-// Plan is one version of the routes, pools and policies. It does not change once made.
+// Plan is one version of the routes, pools and policies. It is immutable once built.
 type Plan struct {
-	Routes []*Route // the first that matches takes the job
-	Pools  []*Pool  // by name
+	Routes []*Route // in order of precedence: the first route that matches takes the job
+	Pools  []*Pool  // sorted by name
 }
 
-// Pool finds a pool by its name, or nil.
+// Pool returns the pool of a name, or nil.
 func (p *Plan) Pool(name PoolName) *Pool {
-	if n, found := slices.BinarySearchFunc(p.Pools, name, func(p *Pool, name PoolName) int {
+	if index, found := slices.BinarySearchFunc(p.Pools, name, func(p *Pool, name PoolName) int {
 		return cmp.Compare(p.Name, name)
 	}); found {
-		return p.Pools[n]
+		return p.Pools[index]
 	}
 	return nil
 }
 
-// Walk finds the route of a job by trying each in order, or nil. Table finds the same one.
+// Walk returns the route of a job by trying each in order, or nil if none matches. Table.Find returns the same one.
 func (p *Plan) Walk(j *Job) *Route {
 	for _, r := range p.Routes {
-		if r.Match.Holds(j) {
+		if r.Match.Matches(j) {
 			return r
 		}
 	}
 	return nil
 }
 
-// Goes tells where a route sends its jobs, in words: two routes with the same words treat jobs alike.
+// Goes describes the route and the pools that it sends its jobs to. A nil route allows any engine. Two routes with the
+// same description treat jobs alike.
 func (r *Route) Goes() string {
 	if r == nil {
 		return "any engine"
 	}
-	out := fmt.Sprintf("route %q", r.Name)
-	for n, p := range r.Pools {
-		out += [...]string{" to pool ", ", else "}[min(n, 1)] + string(p.Name)
+	text := fmt.Sprintf("route %q", r.Name)
+	for position, p := range r.Pools {
+		text += [...]string{" to pool ", ", else "}[min(position, 1)] + string(p.Name)
 	}
 	if len(r.Pools) == 0 {
-		out += " to any engine"
+		text += " to any engine"
 	}
-	return out
+	return text
 }
 
-// NewPolicy gives a policy with what holds where nothing is said. A pool must be fit for 2 s before it is used again,
-// about eight times what an engine that came back needs to answer its first trial; over 5 s, a third of the usual
-// cold time, its share then grows, as its engines are cold. The budget's window is that of rule 7 on most platforms.
+// NewPolicy returns a policy with the default values. A pool must be healthy for 2 s before it is used again, about
+// eight times the time in which an engine that has come back answers its first trial. Its share of new jobs then grows
+// over 5 s, a third of the usual cold time, because its engines are cold. The window of the retry budget is that of
+// rule 7 on most platforms.
 func NewPolicy(name string) Policy {
 	return Policy{Name: name, FurtherSpan: 10 * time.Second, ReturnWait: 2 * time.Second, ReturnOver: 5 * time.Second}
 }
 
-// Takes tells whether a route's match can hold for jobs with a text in a field.
-func (r *Route) Takes(f Field, text string) bool {
-	boxes, ok := r.Match.all()
-	return !ok || slices.ContainsFunc(boxes, func(b box) bool { return b.texts[f].holds(text) })
+// Takes reports whether the route's match can be satisfied by a job that has the given text in a field. It also
+// reports true if the match expands to too many boxes to tell.
+func (r *Route) Takes(field Field, text string) bool {
+	boxes, ok := r.Match.allBoxes()
+	return !ok || slices.ContainsFunc(boxes, func(b box) bool { return b.texts[field].contains(text) })
 }
--- a/decide/route/pool.go
+++ b/decide/route/pool.go
@@ -5,125 +5,130 @@
 	"time"
 )
 
-// engine is what the list and the decision module say of one.
+// engine is an engine of the list, with what the decision module (package logic) reports about it.
 type engine struct {
 	Engine
-	up        bool // listed, and neither draining nor gone
+	available bool // listed and not draining
 	suspected bool
 }
 
-// poolState is a pool of one version while some route of it is in use.
+// poolState is the state of a pool of one version.
 type poolState struct {
 	*Pool
-	version        *version
-	members        map[EngineID]*engine // that are up
-	usable         int                  // of them, not suspected
-	gone           bool                 // a later version has no such pool
-	recent, before int                  // most members in this span of sizeSpan and the one before
-	spanned        time.Duration        // when this span began
-	users          []*routeState
-	trial          time.Duration // when the next job may look whether a suspected engine answers again
+	version                 *version
+	members                 map[EngineID]*engine // members that are available
+	usableCount             int                  // number of members that are not suspected
+	removed                 bool                 // the newest version has no pool of this name
+	currentMax, previousMax int                  // maximum number of members in the current and the previous size window
+	windowStart             time.Duration        // start of the current size window
+	routes                  []*routeState        // routes that use the pool
+	nextTrialAt             time.Duration        // earliest time of the next trial of a suspected engine; see trialInterval
 }
 
-// sizeSpan guards against a pool whose lost engines are forgotten, and which so seems whole: its size is the most it
-// had in the last five to ten minutes. An operator who takes engines out for longer means it.
-const sizeSpan = 5 * time.Minute
+// sizeWindow is the length of the windows over which the size of a pool is tracked. Without a configured size, a pool
+// counts as large as its maximum over the current and the previous window, that is over the last five to ten minutes.
+// Otherwise a pool whose failed engines had left the list would look complete. Engines that are out for longer are
+// taken to have been removed on purpose.
+const sizeWindow = 5 * time.Minute
 
-func (p *poolState) size(now time.Duration) int {
+// expectedSize returns the configured number of engines, or else the maximum number of members in the last two size windows.
+func (p *poolState) expectedSize(now time.Duration) int {
 	if p.Size > 0 {
 		return p.Size
 	}
-	if now-p.spanned >= sizeSpan {
-		if p.before = p.recent; now-p.spanned >= 2*sizeSpan {
-			p.before = len(p.members)
+	if now-p.windowStart >= sizeWindow {
+		if p.previousMax = p.currentMax; now-p.windowStart >= 2*sizeWindow {
+			p.previousMax = len(p.members)
 		}
-		p.recent, p.spanned = len(p.members), now
+		p.currentMax, p.windowStart = len(p.members), now
 	}
-	p.recent = max(p.recent, len(p.members))
-	return max(p.recent, p.before)
+	p.currentMax = max(p.currentMax, len(p.members))
+	return max(p.currentMax, p.previousMax)
 }
 
-// fit tells whether the pool has its minimum of usable engines.
-func (p *poolState) fit(now time.Duration) bool {
-	least := max(p.MinCount, 1)
+// healthy reports whether the pool has its minimum of usable engines. A removed pool is not healthy.
+func (p *poolState) healthy(now time.Duration) bool {
+	minUsable := max(p.MinCount, 1)
 	if p.MinShare > 0 {
-		least = max(int(math.Ceil(p.MinShare*float64(p.size(now))-1e-9)), 1)
+		minUsable = max(int(math.Ceil(p.MinShare*float64(p.expectedSize(now))-1e-9)), 1)
 	}
-	return !p.gone && p.usable >= least
+	return !p.removed && p.usableCount >= minUsable
 }
 
-// count works out what the members' states come to.
-func (p *poolState) count(now time.Duration) {
-	p.usable = 0
+// refreshCounts recounts the usable members and updates the tracked size.
+func (p *poolState) refreshCounts(now time.Duration) {
+	p.usableCount = 0
 	for _, e := range p.members {
 		if !e.suspected {
-			p.usable++
+			p.usableCount++
 		}
 	}
-	p.size(now)
+	p.expectedSize(now)
 }
 
-// standing is where a pool stands for one route.
-type standing int
+// poolStatus is the status of a pool for one route. Failover and failback are delayed by the policy's waits.
+type poolStatus int
 
 const (
-	inUse     standing = iota
-	sinking            // under its minimum, not yet for long enough to leave it
-	down               // under its minimum: fallbacks are used
-	rising             // fit again, not yet for long enough to come back
-	returning          // gets a growing share of new jobs
+	inUse           poolStatus = iota
+	failoverPending            // below its minimum, but for less than FallbackWait: still used; "sinking" in logs
+	down                       // below its minimum: fallbacks are used
+	failbackPending            // healthy again, but for less than ReturnWait: not used yet; "rising" in logs
+	rampingUp                  // takes a growing share of new jobs for ReturnOver; "returning" in logs
 )
 
-func (s standing) String() string {
+func (s poolStatus) String() string {
 	return [...]string{"in use", "sinking", "down", "rising", "returning"}[s]
 }
 
-// leg is a pool as one route uses it.
-type leg struct {
-	pool  *poolState
-	stand standing
-	since time.Duration
+// poolUse is a pool as one route uses it.
+type poolUse struct {
+	pool        *poolState
+	status      poolStatus
+	statusSince time.Duration // when the status began, where it ends after a time
 }
 
-// update moves a leg on, and tells whether it did. Time on both ways guards against flapping: a pool that is fit and
-// unfit in turn stays in use or stays down.
-func (l *leg) update(now time.Duration, p *Policy) (changed bool) {
-	was := l.stand
-	fit := l.pool.fit(now)
+// update brings the status up to date and reports whether it changed. Failover and failback both need a wait, which
+// guards against flapping: a pool that alternates between healthy and unhealthy stays in use or stays down.
+func (u *poolUse) update(now time.Duration, policy *Policy) (changed bool) {
+	previous := u.status
+	healthy := u.pool.healthy(now)
 	switch {
-	case l.pool.gone:
-		l.stand = down
-	case l.stand == inUse && !fit:
-		l.stand, l.since = sinking, now
-	case l.stand == sinking && fit:
-		l.stand = inUse
-	case l.stand == down && fit:
-		l.stand, l.since = rising, now
-	case (l.stand == rising || l.stand == returning) && !fit:
-		l.stand = down
+	case u.pool.removed:
+		u.status = down
+	case u.status == inUse && !healthy:
+		u.status, u.statusSince = failoverPending, now
+	case u.status == failoverPending && healthy:
+		u.status = inUse
+	case u.status == down && healthy:
+		u.status, u.statusSince = failbackPending, now
+	case (u.status == failbackPending || u.status == rampingUp) && !healthy:
+		u.status = down
 	}
-	if l.stand == sinking && now-l.since >= p.FallbackWait {
-		l.stand = down
+	if u.status == failoverPending && now-u.statusSince >= policy.FallbackWait {
+		u.status = down
 	}
-	if l.stand == rising && now-l.since >= p.ReturnWait {
-		l.stand, l.since = returning, now
+	if u.status == failbackPending && now-u.statusSince >= policy.ReturnWait {
+		u.status, u.statusSince = rampingUp, now
 	}
-	if l.stand == returning && now-l.since >= p.ReturnOver {
-		l.stand = inUse
+	if u.status == rampingUp && now-u.statusSince >= policy.ReturnOver {
+		u.status = inUse
 	}
-	return l.stand != was
+	return u.status != previous
 }
 
-// timed tells that a leg may move on by time alone.
-func (l *leg) timed() bool { return l.stand == sinking || l.stand == rising || l.stand == returning }
+// timed reports whether the status may change by time alone.
+func (u *poolUse) timed() bool {
+	return u.status == failoverPending || u.status == failbackPending || u.status == rampingUp
+}
 
-// share is the part of new jobs that a leg takes.
-func (l *leg) share(now time.Duration, p *Policy) float64 {
-	switch l.stand {
-	case inUse, sinking:
+// jobShare returns the share of new jobs that the pool takes, from 0 to 1.
+func (u *poolUse) jobShare(now time.Duration, policy *Policy) float64 {
+	switch u.status {
+	case inUse, failoverPending:
 		return 1
-	case returning:
-		return float64(now-l.since) / float64(max(p.ReturnOver, 1))
+	case rampingUp:
+		return float64(now-u.statusSince) / float64(max(policy.ReturnOver, 1))
 	}
 	return 0
 }
--- a/decide/route/random_test.go
+++ b/decide/route/random_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-var updateTraces = flag.Bool("update", false, "write the traces anew, to be read before they are kept")
+var updateTraces = flag.Bool("update", false, "write the traces to testdata; review them before committing")
 
-// TestMain gives the property tests the same seed in each run; -rapid.seed looks further.
+// TestMain gives the property tests the same seed in each run. Use -rapid.seed to test other cases.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -21,34 +21,34 @@
 	os.Exit(m.Run())
 }
 
-// Few letters and few figures, so that terms often overlap, touch and contradict one another.
+// The generators use few letters and numbers, so that terms often overlap, adjoin or contradict one another.
 var (
-	somePatterns = rapid.Map(rapid.StringMatching(`[ab*?]{0,4}`), func(s string) Pattern { return Pattern(s) })
-	someTexts    = rapid.StringMatching(`[abc]{0,4}`)
-	someFigures  = rapid.Int64Range(-1, 12)
+	patternGen = rapid.Map(rapid.StringMatching(`[ab*?]{0,4}`), func(s string) Pattern { return Pattern(s) })
+	textGen    = rapid.StringMatching(`[abc]{0,4}`)
+	numberGen  = rapid.Int64Range(-1, 12)
 )
 
-func someMatch(t *rapid.T, depth int) *Match {
+func randomMatch(t *rapid.T, depth int) *Match {
 	op := In
 	if depth > 0 {
 		op = rapid.SampledFrom([]Op{In, In, And, Or, Not, All}).Draw(t, "op")
 	}
 	switch op {
 	case And, Or:
-		return &Match{Op: op, Of: []*Match{someMatch(t, depth-1), someMatch(t, depth-1)}}
+		return &Match{Op: op, Of: []*Match{randomMatch(t, depth-1), randomMatch(t, depth-1)}}
 	case Not:
-		return &Match{Op: op, Of: []*Match{someMatch(t, depth-1)}}
+		return &Match{Op: op, Of: []*Match{randomMatch(t, depth-1)}}
 	case All:
 		return &Match{}
 	}
-	f := Field(rapid.IntRange(0, int(fields)-1).Draw(t, "field"))
+	f := Field(rapid.IntRange(0, int(fieldCount)-1).Draw(t, "field"))
 	m := &Match{Op: In, Field: f, Source: "term"}
 	if f.isText() {
-		m.Texts = rapid.SliceOfN(somePatterns, 1, 3).Draw(t, "texts")
+		m.Texts = rapid.SliceOfN(patternGen, 1, 3).Draw(t, "texts")
 		return m
 	}
 	for range rapid.IntRange(1, 2).Draw(t, "ranges") {
-		from := max(someFigures.Draw(t, "from"), 0)
+		from := max(numberGen.Draw(t, "from"), 0)
 		to := from + rapid.Int64Range(0, 5).Draw(t, "span")
 		if rapid.Bool().Draw(t, "open") {
 			to = math.MaxInt64
@@ -58,17 +58,17 @@
 	return m
 }
 
-func someJob(t *rapid.T) Job {
-	return Job{Type: someTexts.Draw(t, "type"), Customer: someTexts.Draw(t, "customer"),
-		Front: someTexts.Draw(t, "front"), Tables: someFigures.Draw(t, "tables"),
-		Cost: time.Duration(someFigures.Draw(t, "cost")), Memory: someFigures.Draw(t, "memory"), Left: time.Duration(max(someFigures.Draw(t, "left"), 0))}
+func randomJob(t *rapid.T) Job {
+	return Job{Type: textGen.Draw(t, "type"), Customer: textGen.Draw(t, "customer"),
+		Front: textGen.Draw(t, "front"), Tables: numberGen.Draw(t, "tables"),
+		Cost: time.Duration(numberGen.Draw(t, "cost")), Memory: numberGen.Draw(t, "memory"), Left: time.Duration(max(numberGen.Draw(t, "left"), 0))}
 }
 
-func somePlan(t *rapid.T, most int) *Plan {
+func randomPlan(t *rapid.T, maxRoutes int) *Plan {
 	p := &Plan{}
-	for n := range rapid.IntRange(0, most).Draw(t, "routes") {
-		r := &Route{Name: RouteName(fmt.Sprint("r", n)), Match: someMatch(t, 2)}
-		if n%4 == 3 { // a wide table of plain routes beside the odd ones
+	for n := range rapid.IntRange(0, maxRoutes).Draw(t, "routes") {
+		r := &Route{Name: RouteName(fmt.Sprint("r", n)), Match: randomMatch(t, 2)}
+		if n%4 == 3 { // many plain routes that test only the type, besides the random ones
 			r.Match = &Match{Op: In, Field: Type, Texts: []Pattern{Pattern(fmt.Sprint("a", n%3))}}
 		}
 		p.Routes = append(p.Routes, r)
@@ -76,7 +76,7 @@
 	return p
 }
 
-func name(r *Route) RouteName {
+func routeName(r *Route) RouteName {
 	if r == nil {
 		return "none"
 	}
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -8,61 +8,73 @@
 	"time"
 )
 
-// Host carries out what the router decides. A call takes effect at the time of the event being handled; none of them
-// may call the router before that event's method has returned.
+// Host carries out the decisions of a Router. The Router calls it while it handles an event, and each call takes
+// effect at the time of that event. An implementation must not call the Router back before the method that handles
+// the event has returned.
 type Host interface {
-	Admit(job JobID, lane *Lane) // a nil lane narrows nothing
-	Refuse(job JobID, comeBack time.Duration, why Reason)
-	Move(job JobID, lane *Lane) // of a held job
-	GiveUp(job JobID)           // a held job that no pool will ever take
-	TakeBack(job JobID)         // its attempt, where it has not left yet
-	WakeAfter(in time.Duration)
+	// Admit accepts a job and gives the engines that it may be sent to. A nil lane allows every engine.
+	Admit(job JobID, lane *Lane)
+	// Refuse rejects a job. The client may submit it again after retryAfter.
+	Refuse(job JobID, retryAfter time.Duration, reason Reason)
+	// Move changes the engines that a held job may be sent to.
+	Move(job JobID, lane *Lane)
+	// GiveUp ends a held job that no pool can take any more.
+	GiveUp(job JobID)
+	// TakeBack withdraws the attempt of a job unless it has already been sent to the engine.
+	TakeBack(job JobID)
+	// WakeAfter schedules a call of Router.TimerDue.
+	WakeAfter(delay time.Duration)
 	Log(line string)
 }
 
-// version is a plan while it is the newest or a job that was taken under it is open.
+// version is a plan that was adopted, with its state. It is kept while it is the newest one or while a job that was
+// admitted under it is still open.
 type version struct {
-	number int
-	plan   *Plan
-	table  *Table
-	routes map[RouteName]*routeState // those that had a job
-	order  []*routeState
-	pools  map[PoolName]*poolState
-	listed []*poolState // the same, in order
-	sets   map[[2]*poolState]*[2]*poolState
-	jobs   int
-}
-
-// routeState is a route of one version that had a job.
+	number     int
+	plan       *Plan
+	table      *Table
+	routes     map[RouteName]*routeState // routes that have been given at least one job
+	routeOrder []*routeState
+	pools      map[PoolName]*poolState
+	poolOrder  []*poolState // the values of pools in the order of creation
+	// The key is a lane's pools; the value is a pointer that all lanes with these pools share, for Lane.Set.
+	laneSets map[[2]*poolState]*[2]*poolState
+	openJobs int
+}
+
+// routeState is the state of a route of one version. It is created with the first job of the route.
 type routeState struct {
 	*Route
-	version     *version
-	legs        []*leg
-	lanes       []*Lane
-	meter       *meter
-	first, last *job // open, in the order taken
-	moving      bool // in the router's list
+	version           *version
+	poolUses          []*poolUse
+	lanes             []*Lane
+	meter             *meter
+	firstJob, lastJob *job // linked list of open jobs in the order of admission
+	timed             bool // whether the route is in Router.timedRoutes
 }
 
-// job is an open job that has a route.
+// job is an open job that matched a route.
 type job struct {
 	id         JobID
 	route      *routeState
 	lane       *Lane
-	out        bool
-	givenUp    bool
-	sent       int
-	prev, next *job // of the route
+	inFlight   bool // whether an attempt is under way; otherwise the job is held
+	givenUp    bool // whether Host.GiveUp was called
+	attempts   int  // attempts so far
+	prev, next *job // neighbors in the route's list of open jobs
 }
 
-// Lane is a set of engines that jobs of one route may go to now: those of a pool, and of one more.
+// Lane is the set of engines that jobs of one route may be sent to: the members of one pool and, where there is an
+// extra pool, also the members of that one. A job has an extra pool while it overflows or tries out a pool that is
+// down.
 type Lane struct {
-	route       *routeState
-	main, extra *leg // nil main: every engine
-	set         *[2]*poolState
+	route          *routeState
+	primary, extra *poolUse // a nil primary allows every engine
+	set            *[2]*poolState
 }
 
-// Set is the same for lanes with the same pools, whatever their routes, and nil for those of every engine.
+// Set returns a comparable value that identifies the pools of the lane: it is equal for all lanes of a version with
+// the same pools, also for those of different routes. It is nil for a lane that allows every engine.
 func (l *Lane) Set() any {
 	if l.set == nil {
 		return nil
@@ -70,102 +82,105 @@
 	return l.set
 }
 
-// Allows tells whether an engine is among those of the lane.
-func (l *Lane) Allows(e EngineID) bool {
-	return l.main == nil || l.main.pool.members[e] != nil || l.extra != nil && l.extra.pool.members[e] != nil
+// Allows reports whether a job of the lane may be sent to an engine.
+func (l *Lane) Allows(id EngineID) bool {
+	return l.primary == nil || l.primary.pool.members[id] != nil || l.extra != nil && l.extra.pool.members[id] != nil
 }
 
-// Room tells whether a job of the lane may leave now: it has engines, and the route's limit is not met.
+// Room reports whether a job of the lane may be sent now: the lane has engines, and the route is below its limit of
+// concurrent attempts.
 func (l *Lane) Room() bool {
-	p := &l.route.Policy
-	return (p.MostOut == 0 || l.route.meter.out < p.MostOut) &&
-		(l.main == nil || len(l.main.pool.members) > 0 || l.extra != nil && len(l.extra.pool.members) > 0)
+	policy := &l.route.Policy
+	return (policy.MostOut == 0 || l.route.meter.inFlight < policy.MostOut) &&
+		(l.primary == nil || len(l.primary.pool.members) > 0 || l.extra != nil && len(l.extra.pool.members) > 0)
 }
 
-// Further tells whether a job may go again: first is the time since its first attempt that may have run (0: none),
-// over that since the last one ended.
-func (l *Lane) Further(now, first, over time.Duration) bool {
-	p := &l.route.Policy
-	return over >= p.FurtherWait && (p.RepeatWindow == 0 || first <= p.RepeatWindow) && l.route.meter.further(now, p)
+// Further reports whether a job may be retried now. sinceFirst is the time since its first attempt that may have run
+// on an engine, or 0 if there was none; sinceLast is the time since its last attempt ended.
+func (l *Lane) Further(now, sinceFirst, sinceLast time.Duration) bool {
+	policy := &l.route.Policy
+	return sinceLast >= policy.FurtherWait && (policy.RepeatWindow == 0 || sinceFirst <= policy.RepeatWindow) && l.route.meter.retryAllowed(now, policy)
 }
 
-// Names gives the lane's route and pools, for logs.
+// Names returns the names of the lane's route, its pool and its extra pool, for logs. A missing pool has an empty name.
 func (l *Lane) Names() (RouteName, PoolName, PoolName) {
-	var main, extra PoolName
-	if l.main != nil {
-		main = l.main.pool.Name
+	var primary, extra PoolName
+	if l.primary != nil {
+		primary = l.primary.pool.Name
 	}
 	if l.extra != nil {
 		extra = l.extra.pool.Name
 	}
-	return l.route.Name, main, extra
+	return l.route.Name, primary, extra
 }
 
-// Router is the state of the routes of one controller.
+// Router holds the state of the routes of one controller. It is not safe for concurrent use.
 type Router struct {
-	host     Host
-	rng      *rand.Rand
-	now      time.Duration
-	versions []*version // oldest first; the last is the one that new jobs are taken under
-	numbered int
-	meters   map[RouteName]*meter
-	engines  map[EngineID]*engine
-	order    []*engine // by id
-	jobs     map[JobID]*job
-	overflow []overflowing // by the time that it is due
-	moving   []*routeState // whose pools may move on by time alone
-	waking   bool
-}
-
-// overflowing is a job that may take the engines of another pool as well once it was held for long enough.
-type overflowing struct {
-	at   time.Duration
-	job  JobID
-	sent int
-}
-
-// New begins without any version: every job is admitted everywhere until Adopt.
+	host             Host
+	rng              *rand.Rand
+	now              time.Duration
+	versions         []*version // oldest first; new jobs are admitted under the last one
+	lastVersion      int
+	meters           map[RouteName]*meter
+	engines          map[EngineID]*engine
+	sortedEngines    []*engine // sorted by id
+	jobs             map[JobID]*job
+	pendingOverflows []pendingOverflow // sorted by dueAt
+	timedRoutes      []*routeState     // routes with a pool whose status may change by time alone
+	wakeScheduled    bool              // whether a call of TimerDue is scheduled
+}
+
+// pendingOverflow is a job that may also use the engines of its pool's overflow pool if it is still held at dueAt. It
+// is void once the job has had another attempt.
+type pendingOverflow struct {
+	dueAt    time.Duration
+	job      JobID
+	attempts int
+}
+
+// New returns a Router without a plan. Until the first call of Adopt, each job is admitted to every engine.
 func New(host Host, seed int64) *Router {
 	return &Router{host: host, rng: rand.New(rand.NewSource(seed)), meters: map[RouteName]*meter{},
 		engines: map[EngineID]*engine{}, jobs: map[JobID]*job{}}
 }
 
-// Table is that of the newest version, or nil, for NewTable.
+// Table returns the table of the newest version, which NewTable can share nodes with, or nil if there is no version.
 func (r *Router) Table() *Table {
-	if v := r.newest(); v != nil {
+	if v := r.newestVersion(); v != nil {
 		return v.table
 	}
 	return nil
 }
 
-func (r *Router) newest() *version {
+func (r *Router) newestVersion() *version {
 	if len(r.versions) == 0 {
 		return nil
 	}
 	return r.versions[len(r.versions)-1]
 }
 
-// Versions tells how many are kept, and how many jobs are open.
+// Versions returns the number of versions that are kept and the number of open jobs that have a route.
 func (r *Router) Versions() (kept, jobs int) { return len(r.versions), len(r.jobs) }
 
-// Adopt takes a new version for the jobs that come from now on. Jobs that are open keep their own, but what the new
-// one took out of a pool, or a pool that it does not have, gets nothing more of theirs either.
+// Adopt makes a plan the version for all jobs that arrive from now on. Open jobs keep the version that they were
+// admitted under, but are no longer sent to engines that the new version has removed from a pool, nor to pools that
+// it does not have. Attempts for such a pool that were not sent yet are taken back.
 func (r *Router) Adopt(now time.Duration, plan *Plan, table *Table) {
 	r.now = now
-	r.numbered++
-	r.versions = append(r.versions, &version{number: r.numbered, plan: plan, table: table,
-		routes: map[RouteName]*routeState{}, pools: map[PoolName]*poolState{}, sets: map[[2]*poolState]*[2]*poolState{}})
+	r.lastVersion++
+	r.versions = append(r.versions, &version{number: r.lastVersion, plan: plan, table: table,
+		routes: map[RouteName]*routeState{}, pools: map[PoolName]*poolState{}, laneSets: map[[2]*poolState]*[2]*poolState{}})
 	for _, p := range plan.Pools {
-		r.pool(r.newest(), p)
+		r.ensurePool(r.newestVersion(), p)
 	}
-	r.free()
-	r.eachPool(func(p *poolState) {
-		r.recount(p, func() { r.fill(p) })
+	r.dropUnused()
+	r.forEachPool(func(p *poolState) {
+		r.applyPoolChange(p, func() { r.fillMembers(p) })
 	})
 	for _, v := range r.versions {
-		for _, rs := range v.order {
-			for j := rs.first; j != nil; j = j.next {
-				if l := j.lane; j.out && l.main != nil && l.main.pool.gone && (l.extra == nil || l.extra.pool.gone) {
+		for _, rs := range v.routeOrder {
+			for j := rs.firstJob; j != nil; j = j.next {
+				if l := j.lane; j.inFlight && l.primary != nil && l.primary.pool.removed && (l.extra == nil || l.extra.pool.removed) {
 					r.host.TakeBack(j.id)
 				}
 			}
@@ -173,69 +188,72 @@
 	}
 }
 
-// free forgets versions that no open job was taken under, and what no version knows.
-func (r *Router) free() {
-	newest := r.newest()
-	r.versions = slices.DeleteFunc(r.versions, func(v *version) bool { return v != newest && v.jobs == 0 })
+// dropUnused removes versions other than the newest that have no open jobs, and meters of routes that are in no
+// version and have no open jobs.
+func (r *Router) dropUnused() {
+	newest := r.newestVersion()
+	r.versions = slices.DeleteFunc(r.versions, func(v *version) bool { return v != newest && v.openJobs == 0 })
 	for name, m := range r.meters {
 		known := slices.ContainsFunc(r.versions, func(v *version) bool { return v.table.routes[name] != nil })
-		if !known && m.jobs == 0 {
+		if !known && m.openJobs == 0 {
 			delete(r.meters, name)
 		}
 	}
 }
 
-// fill works out the members of a pool: by its own version and, where that is not the newest, by the newest as well.
-func (r *Router) fill(p *poolState) {
-	also := p.Pool
-	if newest := r.newest(); p.version != newest {
-		if also = newest.plan.Pool(p.Name); also == nil {
-			p.gone = true
+// fillMembers determines the members of a pool. In a version that is not the newest, an engine must be a member by
+// both that version and the newest one.
+func (r *Router) fillMembers(p *poolState) {
+	newestPool := p.Pool
+	if newest := r.newestVersion(); p.version != newest {
+		if newestPool = newest.plan.Pool(p.Name); newestPool == nil {
+			p.removed = true
 		}
 	}
 	clear(p.members)
-	for _, e := range r.order {
-		if e.up && !p.gone && p.Has(&e.Engine) && also.Has(&e.Engine) {
+	for _, e := range r.sortedEngines {
+		if e.available && !p.removed && p.Contains(&e.Engine) && newestPool.Contains(&e.Engine) {
 			p.members[e.ID] = e
 		}
 	}
-	p.count(r.now)
+	p.refreshCounts(r.now)
 }
 
-// EngineSeen tells of an engine of the list; up is false while it drains and once it has gone. ListEnds follows.
-func (r *Router) EngineSeen(now time.Duration, seen Engine, up bool) {
+// EngineSeen adds, updates or removes one engine of the list of engines. available is false while the engine drains
+// and after it has left. The caller calls ListEnds after the last engine of an update.
+func (r *Router) EngineSeen(now time.Duration, properties Engine, available bool) {
 	r.now = now
-	e := r.engines[seen.ID]
+	e := r.engines[properties.ID]
 	if e == nil {
-		if !up {
+		if !available {
 			return
 		}
 		e = &engine{}
-		r.engines[seen.ID] = e
-		at, _ := slices.BinarySearchFunc(r.order, seen.ID, func(e *engine, id EngineID) int { return cmp.Compare(e.ID, id) })
-		r.order = slices.Insert(r.order, at, e)
-	}
-	e.Engine, e.up = seen, up
-	if !up {
-		delete(r.engines, seen.ID)
-		r.order = slices.DeleteFunc(r.order, func(o *engine) bool { return o == e })
-	}
-	r.eachPool(func(p *poolState) {
-		delete(p.members, seen.ID)
-		if newest := r.newest(); up && !p.gone && p.Has(&e.Engine) &&
-			(p.version == newest || newest.plan.Pool(p.Name).Has(&e.Engine)) {
-			p.members[seen.ID] = e
+		r.engines[properties.ID] = e
+		index, _ := slices.BinarySearchFunc(r.sortedEngines, properties.ID, func(e *engine, id EngineID) int { return cmp.Compare(e.ID, id) })
+		r.sortedEngines = slices.Insert(r.sortedEngines, index, e)
+	}
+	e.Engine, e.available = properties, available
+	if !available {
+		delete(r.engines, properties.ID)
+		r.sortedEngines = slices.DeleteFunc(r.sortedEngines, func(o *engine) bool { return o == e })
+	}
+	r.forEachPool(func(p *poolState) {
+		delete(p.members, properties.ID)
+		if newest := r.newestVersion(); available && !p.removed && p.Contains(&e.Engine) &&
+			(p.version == newest || newest.plan.Pool(p.Name).Contains(&e.Engine)) {
+			p.members[properties.ID] = e
 		}
 	})
 }
 
-// ListEnds acts on what the list said.
+// ListEnds applies the preceding calls of EngineSeen to the pools and the jobs held for them.
 func (r *Router) ListEnds(now time.Duration) {
 	r.now = now
-	r.eachPool(func(p *poolState) { r.recount(p, func() { p.count(now) }) })
+	r.forEachPool(func(p *poolState) { r.applyPoolChange(p, func() { p.refreshCounts(now) }) })
 }
 
-// EngineSuspected tells that the decision module holds an engine for faulty, or no longer.
+// EngineSuspected records whether the decision module (package logic) considers an engine faulty.
 func (r *Router) EngineSuspected(now time.Duration, id EngineID, suspected bool) {
 	r.now = now
 	e := r.engines[id]
@@ -243,141 +261,144 @@
 		return
 	}
 	e.suspected = suspected
-	r.eachPool(func(p *poolState) {
+	r.forEachPool(func(p *poolState) {
 		if p.members[id] != nil {
-			r.recount(p, func() { p.count(now) })
+			r.applyPoolChange(p, func() { p.refreshCounts(now) })
 		}
 	})
 }
 
-// recount acts on what a change of a pool's engines comes to. A pool that was down already changes no standing, but
-// when it is gone, or has its first usable engine or none any more, jobs that wait may do better elsewhere.
-func (r *Router) recount(p *poolState, change func()) {
-	gone, none := p.gone, p.usable == 0
+// applyPoolChange runs a function that changes a pool's engines, then updates the routes that use the pool. A pool that
+// was down already may keep its status; still, when it is removed, gets its first usable engine or loses its last one,
+// another pool may have become the better choice for the jobs held for it, so these are reassigned.
+func (r *Router) applyPoolChange(p *poolState, change func()) {
+	wasRemoved, wasUnusable := p.removed, p.usableCount == 0
 	change()
-	r.update(p.users...)
-	if p.gone == gone && (p.usable == 0) == none {
+	r.updateStatuses(p.routes...)
+	if p.removed == wasRemoved && (p.usableCount == 0) == wasUnusable {
 		return
 	}
-	for _, rs := range p.users {
-		for j := rs.first; j != nil; j = j.next {
-			r.reconsider(j)
+	for _, rs := range p.routes {
+		for j := rs.firstJob; j != nil; j = j.next {
+			r.reassign(j)
 		}
 	}
 }
 
-func (r *Router) eachPool(f func(*poolState)) {
+func (r *Router) forEachPool(f func(*poolState)) {
 	for _, v := range r.versions {
-		for _, p := range v.listed {
+		for _, p := range v.poolOrder {
 			f(p)
 		}
 	}
 }
 
-// update moves the standing of the routes' pools on, and held jobs away from pools that went down.
-func (r *Router) update(routes ...*routeState) {
+// updateStatuses updates the status of the pools of some routes, and reassigns held jobs where a status changed.
+func (r *Router) updateStatuses(routes ...*routeState) {
 	for _, rs := range routes {
-		changed, timed := false, false
-		for _, l := range rs.legs {
-			was := l.stand
-			if l.update(r.now, &rs.Policy) {
+		changed, hasTimed := false, false
+		for _, use := range rs.poolUses {
+			previous := use.status
+			if use.update(r.now, &rs.Policy) {
 				changed = true
-				if rs.version == r.newest() {
-					r.host.Log(fmt.Sprintf("route %s: pool %s is %s, was %s (%d usable of %d)", rs.Name, l.pool.Name,
-						l.stand, was, l.pool.usable, l.pool.size(r.now)))
+				if rs.version == r.newestVersion() {
+					r.host.Log(fmt.Sprintf("route %s: pool %s is %s, was %s (%d usable of %d)", rs.Name, use.pool.Name,
+						use.status, previous, use.pool.usableCount, use.pool.expectedSize(r.now)))
 				}
 			}
-			timed = timed || l.timed()
+			hasTimed = hasTimed || use.timed()
 		}
 		if changed {
-			for j := rs.first; j != nil; j = j.next {
-				r.reconsider(j)
+			for j := rs.firstJob; j != nil; j = j.next {
+				r.reassign(j)
 			}
 		}
-		if timed && !rs.moving {
-			rs.moving = true
-			r.moving = append(r.moving, rs)
+		if hasTimed && !rs.timed {
+			rs.timed = true
+			r.timedRoutes = append(r.timedRoutes, rs)
 		}
 	}
-	r.wake()
+	r.scheduleWake()
 }
 
-// sweepEvery bounds how late a standing changes by time alone; waits are given in tenths of a second and more.
-const sweepEvery = 20 * time.Millisecond
+// sweepInterval bounds the delay of status changes that are due by time alone. Waits are configured in tenths of a
+// second or more.
+const sweepInterval = 20 * time.Millisecond
 
-func (r *Router) wake() {
-	if !r.waking && (len(r.overflow) > 0 || len(r.moving) > 0) {
-		r.waking = true
-		r.host.WakeAfter(sweepEvery)
+func (r *Router) scheduleWake() {
+	if !r.wakeScheduled && (len(r.pendingOverflows) > 0 || len(r.timedRoutes) > 0) {
+		r.wakeScheduled = true
+		r.host.WakeAfter(sweepInterval)
 	}
 }
 
-// TimerDue follows WakeAfter.
+// TimerDue handles the timer that Host.WakeAfter started: overflows that are due, and status changes by time.
 func (r *Router) TimerDue(now time.Duration) {
-	r.now, r.waking = now, false
-	for len(r.overflow) > 0 && r.overflow[0].at <= now {
-		due := r.overflow[0]
-		r.overflow = r.overflow[1:]
-		j := r.jobs[due.job]
-		if j == nil || j.out || j.sent != due.sent || j.lane.main == nil || j.lane.extra != nil {
+	r.now, r.wakeScheduled = now, false
+	for len(r.pendingOverflows) > 0 && r.pendingOverflows[0].dueAt <= now {
+		pending := r.pendingOverflows[0]
+		r.pendingOverflows = r.pendingOverflows[1:]
+		j := r.jobs[pending.job]
+		if j == nil || j.inFlight || j.attempts != pending.attempts || j.lane.primary == nil || j.lane.extra != nil {
 			continue
 		}
-		if over := r.overflowOf(j.route, j.lane.main); over != nil && over.pool.usable > 0 {
+		if overflow := r.overflowPool(j.route, j.lane.primary); overflow != nil && overflow.pool.usableCount > 0 {
 			j.route.meter.Counts.Overflowed++
-			r.move(j, r.lane(j.route, j.lane.main, over))
+			r.moveJob(j, r.laneFor(j.route, j.lane.primary, overflow))
 		}
 	}
-	moving := r.moving
-	r.moving = nil
-	for _, rs := range moving {
-		rs.moving = false
+	routes := r.timedRoutes
+	r.timedRoutes = nil
+	for _, rs := range routes {
+		rs.timed = false
 	}
-	r.update(moving...)
+	r.updateStatuses(routes...)
 }
 
-// overflowOf is the pool that may take what waits for a leg's.
-func (r *Router) overflowOf(rs *routeState, l *leg) *leg {
-	if l.pool.Overflow == "" {
+// overflowPool returns the overflow pool for jobs that wait for a pool, or nil if there is none.
+func (r *Router) overflowPool(rs *routeState, use *poolUse) *poolUse {
+	if use.pool.Overflow == "" {
 		return nil
 	}
-	p := rs.version.plan.Pool(l.pool.Overflow)
+	p := rs.version.plan.Pool(use.pool.Overflow)
 	if p == nil {
 		return nil
 	}
-	return r.leg(rs, p)
+	return r.extraPoolUse(rs, p)
 }
 
-// leg gives a pool as a route uses it beyond its own pools; its standing is not looked at.
-func (r *Router) leg(rs *routeState, p *Pool) *leg {
+// extraPoolUse returns a pool for use as the extra pool of a route's lanes, the same one as in an existing lane if there
+// is one. Its status is not used.
+func (r *Router) extraPoolUse(rs *routeState, p *Pool) *poolUse {
 	for _, lane := range rs.lanes {
 		if lane.extra != nil && lane.extra.pool.Name == p.Name {
 			return lane.extra
 		}
 	}
-	return &leg{pool: r.pool(rs.version, p)}
+	return &poolUse{pool: r.ensurePool(rs.version, p)}
 }
 
-func (r *Router) pool(v *version, p *Pool) *poolState {
-	ps := v.pools[p.Name]
-	if ps == nil {
-		ps = &poolState{Pool: p, version: v, members: map[EngineID]*engine{}, spanned: r.now}
-		v.pools[p.Name] = ps
-		v.listed = append(v.listed, ps)
+func (r *Router) ensurePool(v *version, p *Pool) *poolState {
+	state := v.pools[p.Name]
+	if state == nil {
+		state = &poolState{Pool: p, version: v, members: map[EngineID]*engine{}, windowStart: r.now}
+		v.pools[p.Name] = state
+		v.poolOrder = append(v.poolOrder, state)
 		if len(r.versions) > 1 {
-			// The size that the pool of the version before remembered holds on.
+			// Keep the maximum size that the pool had in the versions before.
 			for _, older := range r.versions[:len(r.versions)-1] {
-				if o := older.pools[p.Name]; o != nil && older != v {
-					ps.before = max(o.recent, o.before)
+				if earlier := older.pools[p.Name]; earlier != nil && older != v {
+					state.previousMax = max(earlier.currentMax, earlier.previousMax)
 				}
 			}
 		}
-		r.fill(ps)
+		r.fillMembers(state)
 	}
-	return ps
+	return state
 }
 
-// state gives what is known of a route of the newest version, from its first job on.
-func (r *Router) state(v *version, found *Route) *routeState {
+// ensureRoute returns the state of a route of the newest version, and creates it for the first job of the route.
+func (r *Router) ensureRoute(v *version, found *Route) *routeState {
 	if rs := v.routes[found.Name]; rs != nil {
 		return rs
 	}
@@ -386,222 +407,228 @@
 		rs.meter = &meter{}
 		r.meters[found.Name] = rs.meter
 	}
-	for n, p := range rs.Pools {
-		l := &leg{pool: r.pool(v, p)}
-		// A pool keeps its standing over a change of versions; a new one begins as it is.
-		if before := r.standing(rs, n, p.Name); before != nil {
-			l.stand, l.since = before.stand, before.since
-		} else if !l.pool.fit(r.now) {
-			l.stand = down
+	for position, p := range rs.Pools {
+		use := &poolUse{pool: r.ensurePool(v, p)}
+		// A pool keeps its status when a new version is adopted. A new pool is in use, or down if it is not healthy.
+		if previous := r.previousUse(rs, position, p.Name); previous != nil {
+			use.status, use.statusSince = previous.status, previous.statusSince
+		} else if !use.pool.healthy(r.now) {
+			use.status = down
 		}
-		rs.legs = append(rs.legs, l)
-		l.pool.users = append(l.pool.users, rs)
+		rs.poolUses = append(rs.poolUses, use)
+		use.pool.routes = append(use.pool.routes, rs)
 	}
 	v.routes[found.Name] = rs
-	v.order = append(v.order, rs)
-	r.update(rs)
+	v.routeOrder = append(v.routeOrder, rs)
+	r.updateStatuses(rs)
 	return rs
 }
 
-// standing finds a pool as the same route of an earlier version uses it.
-func (r *Router) standing(rs *routeState, n int, name PoolName) *leg {
+// previousUse returns the pool at the same position in the same route of the latest earlier version that has it, or
+// nil.
+func (r *Router) previousUse(rs *routeState, position int, name PoolName) *poolUse {
 	for i := len(r.versions) - 2; i >= 0; i-- {
-		if old := r.versions[i].routes[rs.Name]; old != nil && n < len(old.legs) && old.legs[n].pool.Name == name &&
-			!old.legs[n].pool.gone {
-			return old.legs[n]
+		if earlier := r.versions[i].routes[rs.Name]; earlier != nil && position < len(earlier.poolUses) && earlier.poolUses[position].pool.Name == name &&
+			!earlier.poolUses[position].pool.removed {
+			return earlier.poolUses[position]
 		}
 	}
 	return nil
 }
 
-// lane gives the one lane of these pools, so that jobs of one lane are known as such.
-func (r *Router) lane(rs *routeState, main, extra *leg) *Lane {
+// laneFor returns the lane of a route with these pools. There is one Lane per route and pools, so that lanes can be
+// compared by their pointers.
+func (r *Router) laneFor(rs *routeState, main, extra *poolUse) *Lane {
 	for _, l := range rs.lanes {
-		if l.main == main && l.extra == extra {
+		if l.primary == main && l.extra == extra {
 			return l
 		}
 	}
-	l := &Lane{route: rs, main: main, extra: extra}
+	l := &Lane{route: rs, primary: main, extra: extra}
 	if main != nil {
 		pools := [2]*poolState{main.pool}
 		if extra != nil {
 			pools[1] = extra.pool
 		}
-		if rs.version.sets[pools] == nil {
-			rs.version.sets[pools] = &pools
+		if rs.version.laneSets[pools] == nil {
+			rs.version.laneSets[pools] = &pools
 		}
-		l.set = rs.version.sets[pools]
+		l.set = rs.version.laneSets[pools]
 	}
 	rs.lanes = append(rs.lanes, l)
 	return l
 }
 
-// trialEvery is how often a job may look whether a suspected engine of a pool that is down answers again. The
-// decision module itself tries one each 250 ms to 4 s; without jobs that may go there it never would.
-const trialEvery = 500 * time.Millisecond
+// trialInterval is the minimum time between two jobs that may go to a pool that is down, to find out whether a
+// suspected engine of it answers again. The decision module probes a suspected engine with a job every 250 ms to 4 s;
+// without jobs that are allowed to go there it never could.
+const trialInterval = 500 * time.Millisecond
 
-// choose gives the lane for a job: the first pool in use, with a growing share where one returns; else the one with
-// the most of its engines usable; else the first, to wait there. none tells that no pool will ever take it, or that
-// none is usable where the policy ends such jobs.
-func (r *Router) choose(rs *routeState) (lane *Lane, none bool) {
-	if len(rs.legs) == 0 {
-		return r.lane(rs, nil, nil), false
+// chooseLane returns the lane for a job: that of the first pool in use, where a pool that is ramping up takes a growing
+// share of the jobs; else of the pool with the largest share of usable engines; else of the first pool that is left, to
+// wait there. rejected is true if all pools were removed, or if no pool has a usable engine and the policy
+// ends such jobs.
+func (r *Router) chooseLane(rs *routeState) (lane *Lane, rejected bool) {
+	if len(rs.poolUses) == 0 {
+		return r.laneFor(rs, nil, nil), false
 	}
-	for n, l := range rs.legs {
-		if share := l.share(r.now, &rs.Policy); share == 0 || share < 1 && r.rng.Float64() >= share {
+	for position, use := range rs.poolUses {
+		if share := use.jobShare(r.now, &rs.Policy); share == 0 || share < 1 && r.rng.Float64() >= share {
 			continue
 		}
-		if n > 0 {
+		if position > 0 {
 			rs.meter.Counts.Fallback++
-			for _, before := range rs.legs[:n] {
-				p := before.pool
-				if before.stand == down && !p.gone && len(p.members) > p.usable && r.now >= p.trial {
-					p.trial = r.now + trialEvery
+			for _, earlier := range rs.poolUses[:position] {
+				p := earlier.pool
+				if earlier.status == down && !p.removed && len(p.members) > p.usableCount && r.now >= p.nextTrialAt {
+					p.nextTrialAt = r.now + trialInterval
 					rs.meter.Counts.Trials++
-					return r.lane(rs, l, before), false
+					return r.laneFor(rs, use, earlier), false
 				}
 			}
 		}
-		return r.lane(rs, l, nil), false
-	}
-	var best *leg
-	most, left := 0.0, false
-	for _, l := range rs.legs {
-		left = left || !l.pool.gone
-		if share := float64(l.pool.usable) / float64(max(l.pool.size(r.now), 1)); !l.pool.gone && share > most {
-			best, most = l, share
+		return r.laneFor(rs, use, nil), false
+	}
+	var best *poolUse
+	bestShare, anyLeft := 0.0, false
+	for _, use := range rs.poolUses {
+		anyLeft = anyLeft || !use.pool.removed
+		if share := float64(use.pool.usableCount) / float64(max(use.pool.expectedSize(r.now), 1)); !use.pool.removed && share > bestShare {
+			best, bestShare = use, share
 		}
 	}
 	switch {
 	case best != nil:
-		return r.lane(rs, best, nil), false
-	case !left || rs.Policy.EndWhenDown:
+		return r.laneFor(rs, best, nil), false
+	case !anyLeft || rs.Policy.EndWhenDown:
 		return nil, true
 	}
-	for _, l := range rs.legs {
-		if !l.pool.gone {
-			return r.lane(rs, l, nil), false
+	for _, use := range rs.poolUses {
+		if !use.pool.removed {
+			return r.laneFor(rs, use, nil), false
 		}
 	}
 	return nil, true
 }
 
-// JobTaken finds the route of a job and admits or refuses it.
-func (r *Router) JobTaken(now time.Duration, id JobID, described *Job) {
+// JobTaken handles a job that arrives: it finds the route and calls Host.Admit or Host.Refuse.
+func (r *Router) JobTaken(now time.Duration, id JobID, properties *Job) {
 	r.now = now
-	v := r.newest()
+	v := r.newestVersion()
 	var found *Route
 	if v != nil {
-		found = v.table.Find(described)
+		found = v.table.Find(properties)
 	}
 	if found == nil {
 		r.host.Admit(id, nil)
 		return
 	}
-	rs := r.state(v, found)
+	rs := r.ensureRoute(v, found)
 	m := rs.meter
-	if comeBack, ok := m.place(now, &rs.Policy); !ok {
+	if retryAfter, ok := m.reservePlace(now, &rs.Policy); !ok {
 		m.Counts.Refused[OverHeld]++
-		r.host.Refuse(id, comeBack, OverHeld)
+		r.host.Refuse(id, retryAfter, OverHeld)
 		return
 	}
-	lane, none := r.choose(rs)
-	if none {
+	lane, rejected := r.chooseLane(rs)
+	if rejected {
 		m.Counts.Refused[NoPool]++
-		r.host.Refuse(id, rs.Policy.ReturnWait, NoPool) // none comes back sooner
+		r.host.Refuse(id, rs.Policy.ReturnWait, NoPool) // no pool is used again sooner than that
 		return
 	}
-	if comeBack, ok := m.rate(now, &rs.Policy); !ok {
+	if retryAfter, ok := m.takeToken(now, &rs.Policy); !ok {
 		m.Counts.Refused[OverRate]++
-		r.host.Refuse(id, comeBack, OverRate)
+		r.host.Refuse(id, retryAfter, OverRate)
 		return
 	}
-	j := &job{id: id, route: rs, lane: lane, prev: rs.last}
-	if rs.last != nil {
-		rs.last.next = j
+	j := &job{id: id, route: rs, lane: lane, prev: rs.lastJob}
+	if rs.lastJob != nil {
+		rs.lastJob.next = j
 	} else {
-		rs.first = j
+		rs.firstJob = j
 	}
-	rs.last = j
+	rs.lastJob = j
 	r.jobs[id] = j
-	v.jobs++
-	m.jobs++
+	v.openJobs++
+	m.openJobs++
 	m.Counts.Taken++
-	m.span(now, &rs.Policy).taken++
-	r.await(j)
+	m.bucket(now, &rs.Policy).jobs++
+	r.scheduleOverflow(j)
 	r.host.Admit(id, lane)
-	r.wake()
+	r.scheduleWake()
 }
 
-// await notes when a held job may overflow.
-func (r *Router) await(j *job) {
-	if j.lane.main == nil || j.lane.extra != nil || j.lane.main.pool.Overflow == "" {
+// scheduleOverflow records when a held job may overflow, if its pool has an overflow pool.
+func (r *Router) scheduleOverflow(j *job) {
+	if j.lane.primary == nil || j.lane.extra != nil || j.lane.primary.pool.Overflow == "" {
 		return
 	}
-	due := overflowing{r.now + j.lane.main.pool.OverflowAfter, j.id, j.sent}
-	at, _ := slices.BinarySearchFunc(r.overflow, due.at+1, func(o overflowing, at time.Duration) int { return cmp.Compare(o.at, at) })
-	r.overflow = slices.Insert(r.overflow, at, due)
+	pending := pendingOverflow{r.now + j.lane.primary.pool.OverflowAfter, j.id, j.attempts}
+	at, _ := slices.BinarySearchFunc(r.pendingOverflows, pending.dueAt+1, func(o pendingOverflow, at time.Duration) int { return cmp.Compare(o.dueAt, at) })
+	r.pendingOverflows = slices.Insert(r.pendingOverflows, at, pending)
 }
 
-// Attempted tells that a job leaves for an engine.
+// Attempted records that an attempt of a job begins.
 func (r *Router) Attempted(now time.Duration, id JobID) {
 	r.now = now
 	j := r.jobs[id]
-	if j == nil || j.out {
+	if j == nil || j.inFlight {
 		return
 	}
 	m := j.route.meter
-	if j.out = true; j.sent > 0 {
-		m.span(now, &j.route.Policy).further++
+	if j.inFlight = true; j.attempts > 0 {
+		m.bucket(now, &j.route.Policy).retries++
 	}
-	j.sent++
-	m.out++
-	m.departs(now)
+	j.attempts++
+	m.inFlight++
+	m.recordDeparture(now)
 }
 
-// AttemptOver tells that a job is held again, or over; JobOver follows in that case. It comes before the decision
-// module hears of it, so that the job is not sent on to where it was.
+// AttemptOver records that the attempt of a job has ended. The job is held again, unless JobOver follows. The caller
+// calls AttemptOver before it notifies the decision module, so that the job is reassigned before it can be retried in
+// its old lane.
 func (r *Router) AttemptOver(now time.Duration, id JobID) {
 	r.now = now
 	j := r.jobs[id]
-	if j == nil || !j.out {
+	if j == nil || !j.inFlight {
 		return
 	}
-	j.out, j.givenUp = false, false // it may have left just before it was to be given up
-	j.route.meter.out--
-	r.reconsider(j)
-	r.await(j)
-	r.wake()
+	j.inFlight, j.givenUp = false, false // the attempt may have begun just before GiveUp took effect
+	j.route.meter.inFlight--
+	r.reassign(j)
+	r.scheduleOverflow(j)
+	r.scheduleWake()
 }
 
-// reconsider moves a held job that is not in a pool in use. One that waits on its own pool's return, or went to
-// another, stays there: jobs do not all come back at once.
-func (r *Router) reconsider(j *job) {
-	main := j.lane.main
-	if j.out || main == nil || main.stand != down && main.stand != rising {
+// reassign chooses a lane again for a held job whose pool is not used for new jobs, and moves the job or gives it up.
+// A job that was moved to another pool, or whose own pool is returning, stays there, so that jobs do not all come back
+// at once.
+func (r *Router) reassign(j *job) {
+	primary := j.lane.primary
+	if j.inFlight || primary == nil || primary.status != down && primary.status != failbackPending {
 		return
 	}
-	open := slices.ContainsFunc(j.route.legs, func(l *leg) bool { return l.share(r.now, &j.route.Policy) > 0 })
-	if !open && !main.pool.gone && main.pool.usable > 0 {
-		return // one of the last resorts is as good as another
+	anyInUse := slices.ContainsFunc(j.route.poolUses, func(use *poolUse) bool { return use.jobShare(r.now, &j.route.Policy) > 0 })
+	if !anyInUse && !primary.pool.removed && primary.pool.usableCount > 0 {
+		return // no pool is in use, and the job's pool still has a usable engine
 	}
-	lane, none := r.choose(j.route)
-	if none && !j.givenUp {
+	lane, rejected := r.chooseLane(j.route)
+	if rejected && !j.givenUp {
 		j.givenUp = true
 		j.route.meter.Counts.GivenUp++
 		r.host.GiveUp(j.id)
-	} else if !none && lane != j.lane {
-		r.move(j, lane)
+	} else if !rejected && lane != j.lane {
+		r.moveJob(j, lane)
 	}
 }
 
-func (r *Router) move(j *job, lane *Lane) {
+func (r *Router) moveJob(j *job, lane *Lane) {
 	j.route.meter.Counts.Moved++
 	j.lane = lane
 	r.host.Move(j.id, lane)
 }
 
-// JobOver tells that a job is over and nothing of it is out.
+// JobOver removes a job that has ended and has no attempt under way.
 func (r *Router) JobOver(now time.Duration, id JobID) {
 	r.now = now
 	j := r.jobs[id]
@@ -613,25 +640,26 @@
 	if j.prev != nil {
 		j.prev.next = j.next
 	} else {
-		rs.first = j.next
+		rs.firstJob = j.next
 	}
 	if j.next != nil {
 		j.next.prev = j.prev
 	} else {
-		rs.last = j.prev
+		rs.lastJob = j.prev
 	}
-	rs.meter.jobs--
-	if j.out {
-		rs.meter.out--
+	rs.meter.openJobs--
+	if j.inFlight {
+		rs.meter.inFlight--
 	} else {
-		rs.meter.departs(now) // its place is free
+		rs.meter.recordDeparture(now) // a place among the held jobs becomes free
 	}
-	if rs.version.jobs--; rs.version.jobs == 0 && rs.version != r.newest() {
-		r.free()
+	if rs.version.openJobs--; rs.version.openJobs == 0 && rs.version != r.newestVersion() {
+		r.dropUnused()
 	}
 }
 
-// Where tells the version that an open job was taken under and the lane it is in; a nil lane: it has no route.
+// Where returns the number of the version that an open job was admitted under and its lane, or 0 and nil for a job
+// without a route.
 func (r *Router) Where(id JobID) (version int, lane *Lane) {
 	if j := r.jobs[id]; j != nil {
 		return j.route.version.number, j.lane
@@ -639,10 +667,11 @@
 	return 0, nil
 }
 
-// Each hands over the figures of each route that had a job, by name.
-func (r *Router) Each(tell func(name RouteName, jobs, out int, c Counts)) {
+// Each calls a function for each route that has had a job, sorted by name, with the number of open jobs, the number of
+// those with an attempt under way, and the counters.
+func (r *Router) Each(report func(name RouteName, jobs, inFlight int, c Counts)) {
 	for _, name := range sorted(r.meters) {
 		m := r.meters[name]
-		tell(name, m.jobs, m.out, m.Counts)
+		report(name, m.openJobs, m.inFlight, m.Counts)
 	}
 }
--- a/decide/route/router_test.go
+++ b/decide/route/router_test.go
@@ -17,33 +17,33 @@
 
 const msec = time.Millisecond
 
-// bench is a host that prints what it is told.
-type bench struct {
-	r     *Router
-	now   time.Duration
-	wakes time.Duration // 0: none
-	trace strings.Builder
-	lanes map[JobID]*Lane
-	over  map[JobID]bool
-	quiet bool
+// fakeHost drives a Router with a simulated clock and records the Router's calls in a trace.
+type fakeHost struct {
+	router *Router
+	now    time.Duration
+	wakeAt time.Duration // when to call TimerDue; 0: not scheduled
+	trace  strings.Builder
+	lanes  map[JobID]*Lane
+	ended  map[JobID]bool // refused or given up
+	quiet  bool           // disables the trace
 }
 
-func newBench(plan *Plan) *bench {
-	h := &bench{now: 1000 * time.Second, lanes: map[JobID]*Lane{}, over: map[JobID]bool{}}
-	h.r = New(h, 1)
+func newFakeHost(plan *Plan) *fakeHost {
+	h := &fakeHost{now: 1000 * time.Second, lanes: map[JobID]*Lane{}, ended: map[JobID]bool{}}
+	h.router = New(h, 1)
 	if plan != nil {
-		h.r.Adopt(h.now, plan, NewTable(plan, nil))
+		h.router.Adopt(h.now, plan, NewTable(plan, nil))
 	}
 	return h
 }
 
-func (h *bench) say(format string, args ...any) {
+func (h *fakeHost) tracef(format string, args ...any) {
 	if !h.quiet {
 		fmt.Fprintf(&h.trace, "%6d ms  %s\n", (h.now - 1000*time.Second).Milliseconds(), fmt.Sprintf(format, args...))
 	}
 }
 
-func laneText(l *Lane) string {
+func formatLane(l *Lane) string {
 	if l == nil {
 		return "anywhere"
 	}
@@ -57,74 +57,76 @@
 	return string(main)
 }
 
-func (h *bench) Admit(j JobID, l *Lane) {
+func (h *fakeHost) Admit(j JobID, l *Lane) {
 	h.lanes[j] = l
-	h.say("admit %s: %s", j, laneText(l))
+	h.tracef("admit %s: %s", j, formatLane(l))
 }
-func (h *bench) Refuse(j JobID, in time.Duration, why Reason) {
-	h.over[j] = true
-	h.say("refuse %s: %s, back in %v", j, why, in.Round(msec))
+func (h *fakeHost) Refuse(j JobID, retryAfter time.Duration, reason Reason) {
+	h.ended[j] = true
+	h.tracef("refuse %s: %s, back in %v", j, reason, retryAfter.Round(msec))
 }
-func (h *bench) Move(j JobID, l *Lane) { h.lanes[j] = l; h.say("move %s: %s", j, laneText(l)) }
-func (h *bench) GiveUp(j JobID)        { h.over[j] = true; h.say("give up %s", j) }
-func (h *bench) TakeBack(j JobID)      { h.say("take back %s", j) }
-func (h *bench) WakeAfter(in time.Duration) {
-	h.wakes = h.now + in
+func (h *fakeHost) Move(j JobID, l *Lane) { h.lanes[j] = l; h.tracef("move %s: %s", j, formatLane(l)) }
+func (h *fakeHost) GiveUp(j JobID)        { h.ended[j] = true; h.tracef("give up %s", j) }
+func (h *fakeHost) TakeBack(j JobID)      { h.tracef("take back %s", j) }
+func (h *fakeHost) WakeAfter(delay time.Duration) {
+	h.wakeAt = h.now + delay
 }
-func (h *bench) Log(line string) { h.say("log: %s", line) }
+func (h *fakeHost) Log(line string) { h.tracef("log: %s", line) }
 
-// wait lets time pass, with the timers that are due.
-func (h *bench) wait(d time.Duration) {
-	for until := h.now + d; ; {
-		if h.wakes == 0 || h.wakes > until {
-			h.now = until
+// advance moves the clock forward and fires the timers that are due.
+func (h *fakeHost) advance(interval time.Duration) {
+	for end := h.now + interval; ; {
+		if h.wakeAt == 0 || h.wakeAt > end {
+			h.now = end
 			return
 		}
-		h.now, h.wakes = h.wakes, 0
-		h.r.TimerDue(h.now)
+		h.now, h.wakeAt = h.wakeAt, 0
+		h.router.TimerDue(h.now)
 	}
 }
 
-// list tells of engines: their location is the first letter of the id.
-func (h *bench) list(up bool, ids ...EngineID) {
+// list adds or removes engines of the list. The location of an engine is the first letter of its id.
+func (h *fakeHost) listEngines(available bool, ids ...EngineID) {
 	for _, id := range ids {
-		h.r.EngineSeen(h.now, Engine{ID: id, Location: string(id[:1]), Kind: "k"}, up)
+		h.router.EngineSeen(h.now, Engine{ID: id, Location: string(id[:1]), Kind: "k"}, available)
 	}
-	h.r.ListEnds(h.now)
+	h.router.ListEnds(h.now)
 }
 
-func (h *bench) suspect(yes bool, ids ...EngineID) {
+func (h *fakeHost) suspectEngines(suspected bool, ids ...EngineID) {
 	for _, id := range ids {
-		h.r.EngineSuspected(h.now, id, yes)
+		h.router.EngineSuspected(h.now, id, suspected)
 	}
 }
 
-func (h *bench) take(ids ...JobID) {
+// take submits jobs. The type of a job is its id without the digits at the end.
+func (h *fakeHost) submitJobs(ids ...JobID) {
 	for _, id := range ids {
-		h.r.JobTaken(h.now, id, &Job{Type: strings.TrimRight(string(id), "0123456789"), Tables: Untold, Cost: Untold,
+		h.router.JobTaken(h.now, id, &Job{Type: strings.TrimRight(string(id), "0123456789"), Tables: Untold, Cost: Untold,
 			Memory: Untold, Left: time.Second})
 	}
 }
 
-func (h *bench) send(ids ...JobID) {
+func (h *fakeHost) startAttempts(ids ...JobID) {
 	for _, id := range ids {
-		h.r.Attempted(h.now, id)
+		h.router.Attempted(h.now, id)
 	}
 }
 
-func (h *bench) back(ids ...JobID) {
+func (h *fakeHost) endAttempts(ids ...JobID) {
 	for _, id := range ids {
-		h.r.AttemptOver(h.now, id)
+		h.router.AttemptOver(h.now, id)
 	}
 }
 
-func (h *bench) done(ids ...JobID) {
+func (h *fakeHost) finishJobs(ids ...JobID) {
 	for _, id := range ids {
-		h.r.JobOver(h.now, id)
+		h.router.JobOver(h.now, id)
 	}
 }
 
-func (h *bench) kept(t *testing.T) {
+// compareTrace compares the trace with the file in testdata that is named after the test, or writes it with -update.
+func (h *fakeHost) compareTrace(t *testing.T) {
 	t.Helper()
 	path := filepath.Join("testdata", strings.TrimPrefix(t.Name(), "Test")+".txt")
 	if *updateTraces {
@@ -140,12 +142,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(string(want), h.trace.String()); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(string(want), h.trace.String()); diff != "" {
+		t.Error(diff)
 	}
 }
 
-func at(name PoolName, location Pattern, change func(*Pool)) *Pool {
+// poolAt returns a pool of the engines at a location.
+func poolAt(name PoolName, location Pattern, change func(*Pool)) *Pool {
 	p := &Pool{Name: name, Any: [][]Members{{{Locations: []Pattern{location}}}}}
 	if change != nil {
 		change(p)
@@ -153,6 +156,7 @@
 	return p
 }
 
+// planWith returns a plan with one route for all jobs to these pools, in this order.
 func planWith(policy func(*Policy), pools ...*Pool) *Plan {
 	r := &Route{Name: "r", Pools: pools, Policy: NewPolicy("p")}
 	if policy != nil {
@@ -161,188 +165,195 @@
 	return &Plan{Routes: []*Route{r}, Pools: pools}
 }
 
-func half(p *Pool) { p.MinShare = 0.5 }
+func minHalf(p *Pool) { p.MinShare = 0.5 }
 
-// TestFallback: below its minimum for the wait, a pool is left; flapping does not count; it comes back slowly.
+// TestFallback checks that the fallback is used only after the pool has been below its minimum for FallbackWait, that the
+// pool is used again only after it has been healthy for ReturnWait, and that its share of new jobs then grows.
 func TestFallback(t *testing.T) {
-	h := newBench(planWith(func(p *Policy) {
+	h := newFakeHost(planWith(func(p *Policy) {
 		p.FallbackWait, p.ReturnWait, p.ReturnOver = 100*msec, 300*msec, 200*msec
-	}, at("a", "a", half), at("b", "b", nil)))
-	h.list(true, "a1", "a2", "a3", "a4", "b1")
-	h.take("j1")
-	h.list(false, "a1", "a2", "a3")
-	h.wait(60 * msec)
-	h.list(true, "a1", "a2") // back in time
-	h.wait(60 * msec)
-	h.take("j2")
-	h.suspect(true, "a1", "a2")
-	h.wait(120 * msec)
-	h.take("j3", "j4")
-	h.suspect(false, "a1", "a2")
-	h.wait(200 * msec)
-	h.suspect(true, "a1", "a2") // not fit for long enough
-	h.wait(200 * msec)
-	h.suspect(false, "a1", "a2")
-	h.wait(400 * msec)
+	}, poolAt("a", "a", minHalf), poolAt("b", "b", nil)))
+	h.listEngines(true, "a1", "a2", "a3", "a4", "b1")
+	h.submitJobs("j1")
+	h.listEngines(false, "a1", "a2", "a3")
+	h.advance(60 * msec)
+	h.listEngines(true, "a1", "a2") // before FallbackWait is over
+	h.advance(60 * msec)
+	h.submitJobs("j2")
+	h.suspectEngines(true, "a1", "a2")
+	h.advance(120 * msec)
+	h.submitJobs("j3", "j4")
+	h.suspectEngines(false, "a1", "a2")
+	h.advance(200 * msec)
+	h.suspectEngines(true, "a1", "a2") // before ReturnWait is over
+	h.advance(200 * msec)
+	h.suspectEngines(false, "a1", "a2")
+	h.advance(400 * msec)
 	for n := range 12 {
-		h.take(JobID(fmt.Sprint("r", n)))
-		h.wait(20 * msec)
+		h.submitJobs(JobID(fmt.Sprint("r", n)))
+		h.advance(20 * msec)
 	}
-	h.kept(t)
+	h.compareTrace(t)
 }
 
-// TestAllDown: with a policy that holds, jobs wait for whichever pool comes first; with one that ends, they go at once.
-// Below the minimum everywhere, the pool with the larger part left is used.
+// TestAllDown checks what happens without a usable pool: jobs are held until one of the pools has a usable engine or,
+// with EndWhenDown, are ended at once. If all pools are below their minimum, the one with the larger share of usable
+// engines is used.
 func TestAllDown(t *testing.T) {
-	h := newBench(planWith(nil, at("a", "a", half), at("b", "b", half)))
-	h.list(true, "a1", "a2", "a3", "a4", "b1", "b2", "b3")
-	h.list(false, "a1", "a2", "a3", "b1", "b2")
-	h.take("j1")
-	h.list(false, "a4", "b3")
-	h.take("j2")
-	h.list(true, "b3")
-	h.wait(time.Second)
-	plan := planWith(func(p *Policy) { p.EndWhenDown = true }, at("a", "a", nil))
-	h.r.Adopt(h.now, plan, NewTable(plan, h.r.Table()))
-	h.take("j3")
-	h.list(true, "a1")
-	h.wait(3 * time.Second)
-	h.take("j4")
-	h.list(false, "a1")
-	h.kept(t)
+	h := newFakeHost(planWith(nil, poolAt("a", "a", minHalf), poolAt("b", "b", minHalf)))
+	h.listEngines(true, "a1", "a2", "a3", "a4", "b1", "b2", "b3")
+	h.listEngines(false, "a1", "a2", "a3", "b1", "b2")
+	h.submitJobs("j1")
+	h.listEngines(false, "a4", "b3")
+	h.submitJobs("j2")
+	h.listEngines(true, "b3")
+	h.advance(time.Second)
+	plan := planWith(func(p *Policy) { p.EndWhenDown = true }, poolAt("a", "a", nil))
+	h.router.Adopt(h.now, plan, NewTable(plan, h.router.Table()))
+	h.submitJobs("j3")
+	h.listEngines(true, "a1")
+	h.advance(3 * time.Second)
+	h.submitJobs("j4")
+	h.listEngines(false, "a1")
+	h.compareTrace(t)
 }
 
-// TestTrials: while a pool is down for suspicion alone, a job now and then may look at it.
+// TestTrials checks that while a pool is down only because its engines are suspected, a job may use it as an extra pool
+// once per trial interval. Otherwise no job would find out that they answer again.
 func TestTrials(t *testing.T) {
-	h := newBench(planWith(nil, at("a", "a", nil), at("b", "b", nil)))
-	h.list(true, "a1", "b1")
-	h.suspect(true, "a1")
+	h := newFakeHost(planWith(nil, poolAt("a", "a", nil), poolAt("b", "b", nil)))
+	h.listEngines(true, "a1", "b1")
+	h.suspectEngines(true, "a1")
 	for n := range 8 {
-		h.take(JobID(fmt.Sprint("j", n)))
-		h.wait(100 * msec)
+		h.submitJobs(JobID(fmt.Sprint("j", n)))
+		h.advance(100 * msec)
 	}
-	h.kept(t)
+	h.compareTrace(t)
 }
 
-// TestLimits: what is over a limit is told a time at which there is room, each job another.
+// TestLimits checks that jobs over a limit are refused with the time at which there is room again, and that each refused
+// job gets a different time.
 func TestLimits(t *testing.T) {
 	plan := planWith(func(p *Policy) { p.Rate, p.Burst, p.MostOut = 10, 2, 1 })
 	held := &Route{Name: "h", Match: &Match{Op: In, Field: Type, Texts: []Pattern{"h"}}, Policy: NewPolicy("h")}
 	held.Policy.MostHeld = 2
 	plan.Routes = append([]*Route{held}, plan.Routes...)
-	h := newBench(plan)
-	h.take("j1", "j2", "j3", "j4", "j5")
-	h.wait(100 * msec)
-	h.take("j6")
-	h.say("room %v", h.lanes["j1"].Room())
-	h.send("j1")
-	h.say("room %v", h.lanes["j2"].Room())
-	h.done("j1")
-	h.say("room %v", h.lanes["j2"].Room())
-	for n := range 6 { // one each 50 ms leaves
+	h := newFakeHost(plan)
+	h.submitJobs("j1", "j2", "j3", "j4", "j5")
+	h.advance(100 * msec)
+	h.submitJobs("j6")
+	h.tracef("room %v", h.lanes["j1"].Room())
+	h.startAttempts("j1")
+	h.tracef("room %v", h.lanes["j2"].Room())
+	h.finishJobs("j1")
+	h.tracef("room %v", h.lanes["j2"].Room())
+	for n := range 6 { // one job leaves every 50 ms
 		id := JobID(fmt.Sprint("h", n))
-		h.take(id)
-		h.wait(50 * msec)
-		h.send(id)
-		h.done(id)
+		h.submitJobs(id)
+		h.advance(50 * msec)
+		h.startAttempts(id)
+		h.finishJobs(id)
 	}
-	h.take("h10", "h11", "h12", "h13", "h14")
-	h.kept(t)
+	h.submitJobs("h10", "h11", "h12", "h13", "h14")
+	h.compareTrace(t)
 }
 
-// TestFurther: a route's own budget of further attempts, the wait before one, and the window for repeats.
+// TestFurther checks a route's own retry budget, the delay before a retry, and the window for jobs that may have run.
 func TestFurther(t *testing.T) {
-	h := newBench(planWith(func(p *Policy) {
+	h := newFakeHost(planWith(func(p *Policy) {
 		p.FurtherSet, p.FurtherShare, p.FurtherFree, p.FurtherSpan = true, 0.1, 1, 10*time.Second
 		p.FurtherWait, p.RepeatWindow = 50*msec, 2*time.Second
 	}))
 	for n := range 10 {
-		h.take(JobID(fmt.Sprint("j", n)))
+		h.submitJobs(JobID(fmt.Sprint("j", n)))
 	}
 	l := h.lanes["j0"]
-	say := func(what string, first, over time.Duration) { h.say("%s: %v", what, l.Further(h.now, first, over)) }
-	h.send("j0")
-	h.back("j0")
-	say("at once", 0, 10*msec)
-	say("after the wait", 0, 60*msec)
-	say("may have run lately", time.Second, 60*msec)
-	say("may have run long ago", 3*time.Second, 60*msec)
-	h.wait(time.Second)
-	h.send("j0") // further ones: one free, and a tenth of ten jobs
-	h.back("j0")
-	say("one is gone", 0, 60*msec)
-	h.send("j0")
-	h.back("j0")
-	say("two are gone", 0, 60*msec)
-	h.wait(9 * time.Second)
-	say("later", 0, 60*msec)
-	h.wait(2 * time.Second)
-	say("in the next window", 0, 60*msec)
-	h.kept(t)
+	trace := func(what string, first, over time.Duration) { h.tracef("%s: %v", what, l.Further(h.now, first, over)) }
+	h.startAttempts("j0")
+	h.endAttempts("j0")
+	trace("at once", 0, 10*msec)
+	trace("after the wait", 0, 60*msec)
+	trace("may have run lately", time.Second, 60*msec)
+	trace("may have run long ago", 3*time.Second, 60*msec)
+	h.advance(time.Second)
+	h.startAttempts("j0") // the budget is two retries: one free, and a tenth of ten jobs
+	h.endAttempts("j0")
+	trace("one is gone", 0, 60*msec)
+	h.startAttempts("j0")
+	h.endAttempts("j0")
+	trace("two are gone", 0, 60*msec)
+	h.advance(9 * time.Second)
+	trace("later", 0, 60*msec)
+	h.advance(2 * time.Second)
+	trace("in the next window", 0, 60*msec)
+	h.compareTrace(t)
 }
 
-// TestOverflow: a job that waits for long may take the other pool's engines too; one that left and came back waits anew.
+// TestOverflow checks that a job may use the overflow pool after it was held for OverflowAfter, and that this time starts
+// again when the job is held again after an attempt.
 func TestOverflow(t *testing.T) {
-	plan := planWith(nil, at("a", "a", func(p *Pool) { p.Overflow, p.OverflowAfter = "b", 100*msec }))
-	plan.Pools = append(plan.Pools, at("b", "b", nil))
-	h := newBench(plan)
-	h.list(true, "a1", "b1")
-	h.take("j1", "j2")
-	h.wait(50 * msec)
-	h.send("j2")
-	h.wait(60 * msec)
-	h.say("j1 may go to b1: %v", h.lanes["j1"].Allows("b1"))
-	h.back("j2")
-	h.wait(60 * msec)
-	h.wait(60 * msec)
-	h.kept(t)
+	plan := planWith(nil, poolAt("a", "a", func(p *Pool) { p.Overflow, p.OverflowAfter = "b", 100*msec }))
+	plan.Pools = append(plan.Pools, poolAt("b", "b", nil))
+	h := newFakeHost(plan)
+	h.listEngines(true, "a1", "b1")
+	h.submitJobs("j1", "j2")
+	h.advance(50 * msec)
+	h.startAttempts("j2")
+	h.advance(60 * msec)
+	h.tracef("j1 may go to b1: %v", h.lanes["j1"].Allows("b1"))
+	h.endAttempts("j2")
+	h.advance(60 * msec)
+	h.advance(60 * msec)
+	h.compareTrace(t)
 }
 
-// TestVersions: jobs keep their version; what a later one takes away drains for them at once.
+// TestVersions checks that open jobs keep the version that they were admitted under, but lose access at once to engines
+// and pools that a later version removes.
 func TestVersions(t *testing.T) {
-	first := planWith(nil, at("a", "a", nil), at("b", "b", nil))
-	h := newBench(first)
-	h.list(true, "a1", "a2", "b1")
-	h.take("j1", "j2", "j3")
-	h.send("j2")
+	first := planWith(nil, poolAt("a", "a", nil), poolAt("b", "b", nil))
+	h := newFakeHost(first)
+	h.listEngines(true, "a1", "a2", "b1")
+	h.submitJobs("j1", "j2", "j3")
+	h.startAttempts("j2")
 	adopt := func(p *Plan) {
-		h.r.Adopt(h.now, p, NewTable(p, h.r.Table()))
-		kept, open := h.r.Versions()
-		h.say("%d versions, %d jobs", kept, open)
+		h.router.Adopt(h.now, p, NewTable(p, h.router.Table()))
+		kept, open := h.router.Versions()
+		h.tracef("%d versions, %d jobs", kept, open)
 	}
-	// One engine less in a, by id.
-	adopt(planWith(nil, &Pool{Name: "a", Any: [][]Members{{{IDs: []Pattern{"a2"}}}}}, at("b", "b", nil)))
-	h.say("j1 may go to a1 %v, a2 %v", h.lanes["j1"].Allows("a1"), h.lanes["j1"].Allows("a2"))
-	h.take("j4")
-	adopt(planWith(nil, at("b", "b", nil))) // a is gone
-	h.say("room for j2 %v", h.lanes["j2"].Room())
-	h.back("j2")
-	adopt(planWith(nil, at("c", "c", nil))) // b as well: nothing will ever take them
-	h.take("j5")
-	h.done("j1", "j2", "j3", "j4")
-	kept, open := h.r.Versions()
-	h.say("%d versions, %d jobs", kept, open)
+	// Pool a loses engine a1.
+	adopt(planWith(nil, &Pool{Name: "a", Any: [][]Members{{{IDs: []Pattern{"a2"}}}}}, poolAt("b", "b", nil)))
+	h.tracef("j1 may go to a1 %v, a2 %v", h.lanes["j1"].Allows("a1"), h.lanes["j1"].Allows("a2"))
+	h.submitJobs("j4")
+	adopt(planWith(nil, poolAt("b", "b", nil))) // pool a is removed
+	h.tracef("room for j2 %v", h.lanes["j2"].Room())
+	h.endAttempts("j2")
+	adopt(planWith(nil, poolAt("c", "c", nil))) // pool b is removed too, so no pool can take the old jobs
+	h.submitJobs("j5")
+	h.finishJobs("j1", "j2", "j3", "j4")
+	kept, open := h.router.Versions()
+	h.tracef("%d versions, %d jobs", kept, open)
 	adopt(&Plan{})
-	h.take("j6")
-	h.done("j5")
-	kept, open = h.r.Versions()
-	h.say("%d versions, %d jobs", kept, open)
-	h.kept(t)
+	h.submitJobs("j6")
+	h.finishJobs("j5")
+	kept, open = h.router.Versions()
+	h.tracef("%d versions, %d jobs", kept, open)
+	h.compareTrace(t)
 }
 
-// TestPromises drives a router with random events and checks what it promises after each.
+// TestPromises drives a Router with random events and checks its invariants after each: the version and the lane of each
+// open job, the engines that it may be sent to, and the counts.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newBench(nil)
+		h := newFakeHost(nil)
 		h.quiet = true
 		engines := []EngineID{"a1", "a2", "a3", "b1", "b2", "c1"}
-		up, open, out := map[EngineID]bool{}, map[JobID]int{}, map[JobID]bool{}
+		available, open, inFlight := map[EngineID]bool{}, map[JobID]int{}, map[JobID]bool{}
 		adopted, jobs := 0, 0
 		adopt := func(t *rapid.T) {
 			locations := rapid.Permutation([]Pattern{"a", "b", "c"}).Draw(t, "order")
 			var pools []*Pool
 			for _, l := range locations[:rapid.IntRange(0, 3).Draw(t, "pools")] {
-				pools = append(pools, at(PoolName(l), l, func(p *Pool) {
+				pools = append(pools, poolAt(PoolName(l), l, func(p *Pool) {
 					p.MinShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "minimum")
 					if rapid.Bool().Draw(t, "ids") {
 						p.Any[0][0].IDs = []Pattern{"*1", "*2"}
@@ -360,14 +371,14 @@
 			}, pools...)
 			plan.Pools = slices.Clone(pools)
 			slices.SortFunc(plan.Pools, func(a, b *Pool) int { return stdcmp.Compare(a.Name, b.Name) })
-			h.r.Adopt(h.now, plan, NewTable(plan, h.r.Table()))
+			h.router.Adopt(h.now, plan, NewTable(plan, h.router.Table()))
 			adopted++
 		}
 		adopt(t)
-		id := func(t *rapid.T, want bool) (JobID, bool) {
+		pickJob := func(t *rapid.T, wantInFlight bool) (JobID, bool) {
 			var list []JobID
 			for j := range open {
-				if out[j] == want {
+				if inFlight[j] == wantInFlight {
 					list = append(list, j)
 				}
 			}
@@ -378,104 +389,104 @@
 			return rapid.SampledFrom(list).Draw(t, "job"), true
 		}
 		finish := func(j JobID) {
-			h.done(j)
+			h.finishJobs(j)
 			delete(open, j)
-			delete(out, j)
+			delete(inFlight, j)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"adopt": adopt,
 			"list": func(t *rapid.T) {
 				e := rapid.SampledFrom(engines).Draw(t, "engine")
-				up[e] = !up[e]
-				h.list(up[e], e)
+				available[e] = !available[e]
+				h.listEngines(available[e], e)
 			},
 			"suspect": func(t *rapid.T) {
-				h.suspect(rapid.Bool().Draw(t, "yes"), rapid.SampledFrom(engines).Draw(t, "engine"))
+				h.suspectEngines(rapid.Bool().Draw(t, "yes"), rapid.SampledFrom(engines).Draw(t, "engine"))
 			},
 			"wait": func(t *rapid.T) {
-				h.wait(time.Duration(rapid.SampledFrom([]int{1, 30, 300, 3000}).Draw(t, "ms")) * msec)
+				h.advance(time.Duration(rapid.SampledFrom([]int{1, 30, 300, 3000}).Draw(t, "ms")) * msec)
 			},
 			"take": func(t *rapid.T) {
 				jobs++
 				j := JobID(fmt.Sprint("j", jobs))
-				h.take(j)
-				if _, admitted := h.lanes[j]; admitted == h.over[j] {
-					t.Fatalf("%s admitted %v, refused %v", j, admitted, h.over[j])
+				h.submitJobs(j)
+				if _, admitted := h.lanes[j]; admitted == h.ended[j] {
+					t.Fatalf("%s must be either admitted or refused: admitted %v, refused %v", j, admitted, h.ended[j])
 				} else if admitted {
 					open[j] = adopted
 				}
 			},
 			"send": func(t *rapid.T) {
-				j, some := id(t, false)
-				if some && h.lanes[j].Room() && slices.ContainsFunc(engines, h.lanes[j].Allows) {
-					h.send(j)
-					out[j] = true
+				j, found := pickJob(t, false)
+				if found && h.lanes[j].Room() && slices.ContainsFunc(engines, h.lanes[j].Allows) {
+					h.startAttempts(j)
+					inFlight[j] = true
 				}
 			},
 			"back": func(t *rapid.T) {
-				if j, some := id(t, true); some {
-					delete(out, j)
-					h.back(j)
+				if j, found := pickJob(t, true); found {
+					delete(inFlight, j)
+					h.endAttempts(j)
 				}
 			},
 			"done": func(t *rapid.T) {
-				if j, some := id(t, rapid.Bool().Draw(t, "out")); some {
+				if j, found := pickJob(t, rapid.Bool().Draw(t, "out")); found {
 					finish(j)
 				}
 			},
 			"": func(t *rapid.T) {
-				for j := range h.over { // the caller ends what is given up
-					if _, is := open[j]; is && !out[j] {
+				for j := range h.ended { // the caller ends jobs that were given up
+					if _, isOpen := open[j]; isOpen && !inFlight[j] {
 						finish(j)
 					}
 				}
 				versions := map[int]bool{adopted: true}
 				held, sent := 0, 0
-				newest := h.r.newest()
+				newest := h.router.newestVersion()
 				for j, version := range open {
 					versions[version] = true
-					if out[j] {
+					if inFlight[j] {
 						sent++
 					} else {
 						held++
 					}
-					v, lane := h.r.Where(j)
+					v, lane := h.router.Where(j)
 					if v != version || lane != h.lanes[j] || lane.route.version.number != version {
-						t.Fatalf("%s was taken under %d, is under %d", j, version, v)
+						t.Fatalf("%s was admitted under version %d, but has version %d or a wrong lane", j, version, v)
 					}
 					for _, e := range engines {
-						if !lane.Allows(e) || lane.main == nil {
+						if !lane.Allows(e) || lane.primary == nil {
 							continue
 						}
-						in := func(l *leg) bool {
+						isMember := func(l *poolUse) bool {
 							if l == nil || l.pool.version.number != version {
 								return false
 							}
 							later := newest.plan.Pool(l.pool.Name)
 							engine := &Engine{ID: e, Location: string(e[:1]), Kind: "k"}
-							return later != nil && later.Has(engine) && l.pool.Has(engine)
+							return later != nil && later.Contains(engine) && l.pool.Contains(engine)
 						}
-						if !up[e] || !in(lane.main) && !in(lane.extra) {
-							t.Fatalf("%s may go to %s, up %v", j, e, up[e])
+						if !available[e] || !isMember(lane.primary) && !isMember(lane.extra) {
+							t.Fatalf("%s may be sent to %s, which is not available (%v) or not in its pools", j, e, available[e])
 						}
 					}
-					if out[j] || lane.main == nil {
+					if inFlight[j] || lane.primary == nil {
 						continue
 					}
-					if lane.main.pool.gone {
-						t.Fatalf("%s is held for pool %s, which is gone", j, lane.main.pool.Name)
+					if lane.primary.pool.removed {
+						t.Fatalf("%s is held for pool %s, which was removed", j, lane.primary.pool.Name)
 					}
-					better := slices.ContainsFunc(lane.route.legs, func(l *leg) bool { return l.pool.usable > 0 })
-					if s := lane.main.stand; better && (s == down || s == rising) && lane.main.pool.usable == 0 {
-						t.Fatalf("%s waits for pool %s, which is %s, while another has engines", j, lane.main.pool.Name, s)
+					better := slices.ContainsFunc(lane.route.poolUses, func(l *poolUse) bool { return l.pool.usableCount > 0 })
+					if s := lane.primary.status; better && (s == down || s == failbackPending) && lane.primary.pool.usableCount == 0 {
+						t.Fatalf("%s is held for pool %s, which is %s, while another pool has usable engines", j, lane.primary.pool.Name, s)
 					}
 				}
-				kept, known := h.r.Versions()
+				kept, known := h.router.Versions()
 				if kept != len(versions) || known != len(open) {
-					t.Fatalf("%d versions kept of %v, %d jobs of %d", kept, versions, known, len(open))
+					t.Fatalf("%d versions kept, want %v; %d open jobs, want %d", kept, versions, known, len(open))
 				}
-				if m := h.r.meters["r"]; m != nil && (m.out != sent || m.jobs != held+sent) {
-					t.Fatalf("%d out of %d jobs, counted %d and %d", sent, held+sent, m.out, m.jobs)
+				if m := h.router.meters["r"]; m != nil && (m.inFlight != sent || m.openJobs != held+sent) {
+					t.Fatalf("%d attempts of %d jobs, but the meter has %d and %d", sent, held+sent, m.inFlight, m.openJobs)
 				}
 			},
 		})
@@ -485,14 +496,14 @@
 func BenchmarkJobTaken(b *testing.B) {
 	for _, n := range []int{1, 10, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			plan, job := manyRoutes(n)
+			plan, job := largePlan(n)
 			for _, r := range plan.Routes {
-				r.Pools = []*Pool{at("a", "a", nil)}
+				r.Pools = []*Pool{poolAt("a", "a", nil)}
 			}
 			plan.Pools = plan.Routes[0].Pools
-			h := newBench(plan)
+			h := newFakeHost(plan)
 			h.quiet = true
-			h.list(true, "a1")
+			h.listEngines(true, "a1")
 			rng := rand.New(rand.NewSource(1))
 			jobs := make([]Job, 4096)
 			for i := range jobs {
@@ -501,9 +512,9 @@
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				h.r.JobTaken(h.now, "j", &jobs[i%len(jobs)])
-				h.r.Attempted(h.now, "j")
-				h.r.JobOver(h.now, "j")
+				h.router.JobTaken(h.now, "j", &jobs[i%len(jobs)])
+				h.router.Attempted(h.now, "j")
+				h.router.JobOver(h.now, "j")
 				i++
 			}
 		})
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -12,97 +12,98 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Table finds the route of a job without walking over all of them. Routes that look at the same fields stand in one
-// tree, which splits them by one field at a time: texts by the longest prefix that any pattern names, in a radix
-// tree, and figures by cuts. Parts of the trees that a later version has too are the same in memory.
+// Table is an index that finds the route of a job without trying all routes. Boxes of routes that can be found by the
+// same fields are in one decision tree, which splits them by one field at a time: texts by the longest literal prefix of
+// any pattern, in a radix tree, and numbers by intervals. Subtrees that do not change from one version of the plan to
+// the next are shared in memory.
 type Table struct {
-	groups  []group            // by the first route in them
-	known   map[uint64][]*node // by what they hold, for the next version
-	entries map[RouteName][]*entry
-	routes  map[RouteName]*Route
-	shared  int // nodes taken over from the version before
-	nodes   int
+	groups      []group            // sorted by firstRank
+	nodesByHash map[uint64][]*node // all nodes by the hash of their contents, for sharing with the next version
+	entries     map[RouteName][]*entry
+	routes      map[RouteName]*Route
+	sharedNodes int // number of nodes shared with the previous version
+	nodeCount   int // number of all nodes
 }
 
-// group is the tree of all boxes that look at the same fields: in one tree with those that do not, each of these
-// would stand under each text that the others name.
+// group is the tree of all boxes that can be found by the same fields. In one tree with all boxes, those that do not
+// test a field would have to be repeated under each text of that field that other boxes name.
 type group struct {
-	looks uint
-	first uint64 // least place of its entries
-	root  *node
+	fieldMask uint
+	firstRank uint64 // lowest rank of its entries
+	root      *node
 }
 
-// entry is one box of a route. Versions share the entries of routes that are alike and in the same order; the route
-// is the one of the version that first had it.
+// entry is one box of a route. Versions share the entries of routes that are equal and in the same order; route is then
+// that of the version that had it first.
 type entry struct {
-	route *Route
-	box   *box   // nil: the whole match is to be asked, as it has too many boxes
-	place uint64 // in the order of routes
-	looks uint   // the fields by which the box can be found
-	tests []test
+	route      *Route
+	box        *box   // nil: the match has too many boxes and is evaluated itself
+	rank       uint64 // precedence of the route; the lowest rank takes the job
+	fieldMask  uint   // bit set of the fields by which the box can be found
+	conditions []condition
 }
 
-// test is a condition of a box on one field; fields without one hold every job.
-type test struct {
-	field Field
-	word  string   // of a text that must be this one,
-	words []string // or one of these
-	exact bool
-	set   *textSet // any other condition on a text
-	least int64    // of a figure in one range
-	most  int64
-	more  []Range // its other ranges
+// condition is the condition of a box on one field. A field without a condition may have any value.
+type condition struct {
+	field         Field
+	literal       string   // if exact: the text must be this one
+	otherLiterals []string // or one of these
+	exact         bool
+	set           *textSet // any other condition on a text
+	from          int64    // on a number: the bounds of its first range
+	to            int64
+	otherRanges   []Range // the other ranges
 }
 
 func newEntry(r *Route, b *box, place uint64) *entry {
-	e := &entry{route: r, box: b, place: place}
+	e := &entry{route: r, box: b, rank: place}
 	if b == nil {
 		return e
 	}
 	for f := range b.texts {
 		set := &b.texts[f]
-		if set.done {
-			var words []string
-			for _, p := range set.any[0] {
-				word, _ := p.Literal()
-				words = append(words, word)
+		if set.onlyLiterals {
+			var literals []string
+			for _, pattern := range set.included[0] {
+				word, _ := pattern.Literal()
+				literals = append(literals, word)
 			}
-			e.tests = append(e.tests, test{field: Field(f), exact: true, word: words[0], words: words[1:]})
-		} else if len(set.any) > 0 || len(set.none) > 0 {
-			e.tests = append(e.tests, test{field: Field(f), set: set})
+			e.conditions = append(e.conditions, condition{field: Field(f), exact: true, literal: literals[0], otherLiterals: literals[1:]})
+		} else if len(set.included) > 0 || len(set.excluded) > 0 {
+			e.conditions = append(e.conditions, condition{field: Field(f), set: set})
 		}
-		if set.done || !slices.Contains(e.prefixes(Field(f)), "") {
-			e.looks |= 1 << f
+		if set.onlyLiterals || !slices.Contains(e.prefixes(Field(f)), "") {
+			e.fieldMask |= 1 << f
 		}
 	}
-	for f, r := range b.figures {
-		if field := Tables + Field(f); len(r) != 1 || r[0] != everyone.figures[f][0] {
-			e.looks |= 1 << field
-			e.tests = append(e.tests, test{field: field, least: r[0].From, most: r[0].To, more: r[1:]})
+	for f, r := range b.numbers {
+		if field := Tables + Field(f); len(r) != 1 || r[0] != unrestricted.numbers[f][0] {
+			e.fieldMask |= 1 << field
+			e.conditions = append(e.conditions, condition{field: field, from: r[0].From, to: r[0].To, otherRanges: r[1:]})
 		}
 	}
 	return e
 }
 
-var everyone = everything()
+var unrestricted = unrestrictedBox()
 
-func (e *entry) holds(j *Job) bool {
+func (e *entry) matches(j *Job) bool {
 	if e.box == nil {
-		return e.route.Match.Holds(j)
+		return e.route.Match.Matches(j)
 	}
-	for n := range e.tests {
-		t := &e.tests[n]
+	for n := range e.conditions {
+		cond := &e.conditions[n]
 		switch {
-		case t.exact:
-			if text := j.text(t.field); text != t.word && !slices.Contains(t.words, text) {
+		case cond.exact:
+			if text := j.text(cond.field); text != cond.literal && !slices.Contains(cond.otherLiterals, text) {
 				return false
 			}
-		case t.set != nil:
-			if !t.set.holds(j.text(t.field)) {
+		case cond.set != nil:
+			if !cond.set.contains(j.text(cond.field)) {
 				return false
 			}
 		default:
-			if x := j.figure(t.field); (x < t.least || x > t.most) && !within(t.more, x) {
+			if number := j.number(cond.field); (number < cond.from || number > cond.to) && !inAnyRange(cond.otherRanges, number) {
 				return false
 			}
 		}
@@ -110,426 +111,436 @@
 	return true
 }
 
+// node is a node of a decision tree: a leaf with a list of entries, or an inner node that splits its entries by a field.
 type node struct {
 	field Field
-	// By the texts that literals name, in a plain map, as a radix tree's steps each wait for memory (1.6 us against
-	// 0.7 in all, of 10,000 routes); and all other texts by the longest prefix that a pattern names.
-	exact map[string]*node
-	texts *iradix.Tree[*node]
-	cuts  []int64 // kids[n] holds figures from cuts[n] on; cuts[0] is the least
-	kids  []*node
-	list  []*entry // of a leaf, in order
-	of    []*entry // all that it was made of
-	used  uint
-	key   uint64 // in known
+	// Children for a text field: byLiteral has those for the texts of literals, in a map because each step down a radix
+	// tree waits for memory (a lookup among 10,000 routes takes 0.7 us instead of 1.6 us). byPrefix has those for all
+	// other texts, by the longest literal prefix of a pattern.
+	byLiteral  map[string]*node
+	byPrefix   *iradix.Tree[*node]
+	bounds     []int64 // for a number field: children[n] has the numbers from bounds[n] on; bounds[0] is the minimum
+	children   []*node
+	entries    []*entry // the entries of a leaf in the order of precedence; nil for an inner node
+	allEntries []*entry // all entries that the subtree was built from
+	usedFields uint     // bit set of the fields that may not be split by any more
+	hash       uint64   // key in Table.nodesByHash
 }
 
-// leafSize is how many entries are tried one by one: about the cost of two more steps down the tree.
-const leafSize = 6
+// maxLeafEntries is the number of entries up to which a leaf is not split: trying them one by one costs about as much
+// as two more steps down the tree.
+const maxLeafEntries = 6
 
-// NewTable compiles a plan. What it has in common with the version before, which may be nil, is shared.
-func NewTable(p *Plan, before *Table) *Table {
-	t := &Table{known: map[uint64][]*node{}, entries: make(map[RouteName][]*entry, len(p.Routes)),
+// NewTable builds the table of a plan. It shares unchanged entries and nodes with the table of the previous version,
+// which may be nil.
+func NewTable(p *Plan, previous *Table) *Table {
+	t := &Table{nodesByHash: map[uint64][]*node{}, entries: make(map[RouteName][]*entry, len(p.Routes)),
 		routes: make(map[RouteName]*Route, len(p.Routes))}
-	kept := before.kept(p)
-	places, ok := between(kept)
-	if !ok { // no places left in between: all anew
+	kept := previous.keptEntries(p)
+	ranks, ok := assignRanks(kept)
+	if !ok { // no ranks left between the kept entries: rebuild all of them
 		clear(kept)
-		places, _ = between(kept)
+		ranks, _ = assignRanks(kept)
 	}
-	by := map[uint][]*entry{}
+	byFields := map[uint][]*entry{}
 	for n, r := range p.Routes {
-		list := kept[n]
-		if list == nil {
-			if boxes, ok := r.Match.all(); ok {
+		entries := kept[n]
+		if entries == nil {
+			if boxes, ok := r.Match.allBoxes(); ok {
 				for m := range boxes {
-					list = append(list, newEntry(r, &boxes[m], places[n]))
+					entries = append(entries, newEntry(r, &boxes[m], ranks[n]))
 				}
 			} else {
-				list = []*entry{newEntry(r, nil, places[n])}
+				entries = []*entry{newEntry(r, nil, ranks[n])}
 			}
 		}
-		t.entries[r.Name], t.routes[r.Name] = list, r
-		for _, e := range list {
-			by[e.looks] = append(by[e.looks], e)
+		t.entries[r.Name], t.routes[r.Name] = entries, r
+		for _, e := range entries {
+			byFields[e.fieldMask] = append(byFields[e.fieldMask], e)
 		}
 	}
-	for looks, list := range by {
-		t.groups = append(t.groups, group{looks, list[0].place, t.build(list, ^looks, before)})
+	for fieldMask, entries := range byFields {
+		t.groups = append(t.groups, group{fieldMask, entries[0].rank, t.build(entries, ^fieldMask, previous)})
 	}
 	slices.SortFunc(t.groups, func(a, b group) int {
-		return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(a.looks, b.looks))
+		return cmp.Or(cmp.Compare(a.firstRank, b.firstRank), cmp.Compare(a.fieldMask, b.fieldMask))
 	})
 	return t
 }
 
-// kept lists, by the position in a new plan, the entries of routes that are alike and in the same order as before:
-// the longest such row of routes.
-func (t *Table) kept(p *Plan) [][]*entry {
-	out := make([][]*entry, len(p.Routes))
+// keptEntries returns, by position in a new plan, the entries of the routes that are unchanged and still in the same
+// order: those of the longest such subsequence. The others are nil.
+func (t *Table) keptEntries(p *Plan) [][]*entry {
+	result := make([][]*entry, len(p.Routes))
 	if t == nil {
-		return out
+		return result
 	}
-	var alike []int // positions in the new plan
+	var unchanged []int // positions of unchanged routes in the new plan
 	for n, r := range p.Routes {
-		if old := t.routes[r.Name]; old != nil && old.same(r) && len(t.entries[r.Name]) > 0 {
-			alike = append(alike, n)
+		if old := t.routes[r.Name]; old != nil && old.equal(r) && len(t.entries[r.Name]) > 0 {
+			unchanged = append(unchanged, n)
 		}
 	}
 	entries := func(n int) []*entry { return t.entries[p.Routes[n].Name] }
-	for m, stays := range Rising(alike, func(n int) uint64 { return entries(n)[0].place }) {
-		if stays {
-			out[alike[m]] = entries(alike[m])
+	for m, keep := range Rising(unchanged, func(n int) uint64 { return entries(n)[0].rank }) {
+		if keep {
+			result[unchanged[m]] = entries(unchanged[m])
 		}
 	}
-	return out
+	return result
 }
 
-// Rising marks the members of a longest row of a list, not broken up, whose values rise.
+// Rising marks the elements of a longest subsequence of a list whose values increase.
 func Rising[E any, V cmp.Ordered](list []E, value func(E) V) []bool {
-	prior := make([]int, len(list))
-	var ends []int // the position that ends a row of each length at the least value
-	for n, e := range list {
-		at, _ := slices.BinarySearchFunc(ends, value(e), func(m int, to V) int { return cmp.Compare(value(list[m]), to) })
-		if prior[n] = -1; at > 0 {
-			prior[n] = ends[at-1]
-		}
-		if at == len(ends) {
-			ends = append(ends, n)
+	predecessor := make([]int, len(list))
+	var tails []int // for each length, the position that ends a subsequence with the lowest last value
+	for n, element := range list {
+		length, _ := slices.BinarySearchFunc(tails, value(element), func(m int, target V) int { return cmp.Compare(value(list[m]), target) })
+		if predecessor[n] = -1; length > 0 {
+			predecessor[n] = tails[length-1]
+		}
+		if length == len(tails) {
+			tails = append(tails, n)
 		} else {
-			ends[at] = n
+			tails[length] = n
 		}
 	}
 	marks := make([]bool, len(list))
-	if len(ends) > 0 {
-		for n := ends[len(ends)-1]; n >= 0; n = prior[n] {
+	if len(tails) > 0 {
+		for n := tails[len(tails)-1]; n >= 0; n = predecessor[n] {
 			marks[n] = true
 		}
 	}
 	return marks
 }
 
-// between gives new routes places between those that are kept; false where there is no room for them.
-func between(kept [][]*entry) (places []uint64, ok bool) {
-	places = make([]uint64, len(kept))
-	last := uint64(0)
-	for n := 0; n < len(kept); {
-		to := n
-		for to < len(kept) && kept[to] == nil {
-			to++
-		}
-		next := uint64(math.MaxUint64)
-		if to < len(kept) {
-			next = kept[to][0].place
-		}
-		step := min((next-last)/uint64(to-n+1), 1<<40)
-		if to > n && step == 0 {
+// assignRanks returns ranks for new routes between those of the kept entries, and false if there is not enough room
+// between two of them.
+func assignRanks(kept [][]*entry) (ranks []uint64, ok bool) {
+	ranks = make([]uint64, len(kept))
+	lower := uint64(0)
+	for start := 0; start < len(kept); {
+		end := start
+		for end < len(kept) && kept[end] == nil {
+			end++
+		}
+		upper := uint64(math.MaxUint64)
+		if end < len(kept) {
+			upper = kept[end][0].rank
+		}
+		step := min((upper-lower)/uint64(end-start+1), 1<<40)
+		if end > start && step == 0 {
 			return nil, false
 		}
-		for i := n; i < to; i++ {
-			last += step
-			places[i] = last
+		for i := start; i < end; i++ {
+			lower += step
+			ranks[i] = lower
 		}
-		last, n = next, to+1
+		lower, start = upper, end+1
 	}
-	return places, true
+	return ranks, true
 }
 
-// same tells that two routes match and act alike.
-func (r *Route) same(o *Route) bool {
-	if r.Name != o.Name || r.Policy != o.Policy || len(r.Pools) != len(o.Pools) || !r.Match.same(o.Match) {
+// equal reports whether two routes have the same name, match, pools and policy.
+func (r *Route) equal(other *Route) bool {
+	if r.Name != other.Name || r.Policy != other.Policy || len(r.Pools) != len(other.Pools) || !r.Match.equal(other.Match) {
 		return false
 	}
 	for n, p := range r.Pools {
-		if !p.same(o.Pools[n]) {
+		if !p.equal(other.Pools[n]) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *Match) same(o *Match) bool {
-	if m == nil || o == nil {
-		return m == o
+func (m *Match) equal(other *Match) bool {
+	if m == nil || other == nil {
+		return m == other
 	}
-	return m.Op == o.Op && m.Field == o.Field && slices.Equal(m.Texts, o.Texts) && slices.Equal(m.Ranges, o.Ranges) &&
-		slices.EqualFunc(m.Of, o.Of, (*Match).same)
+	return m.Op == other.Op && m.Field == other.Field && slices.Equal(m.Texts, other.Texts) && slices.Equal(m.Ranges, other.Ranges) &&
+		slices.EqualFunc(m.Of, other.Of, (*Match).equal)
 }
 
-func (p *Pool) same(o *Pool) bool {
-	members := func(a, b Members) bool {
+func (p *Pool) equal(other *Pool) bool {
+	sameMembers := func(a, b Members) bool {
 		return slices.Equal(a.IDs, b.IDs) && slices.Equal(a.Locations, b.Locations) && slices.Equal(a.Kinds, b.Kinds)
 	}
-	return p == o || p.Name == o.Name && p.MinCount == o.MinCount && p.MinShare == o.MinShare && p.Size == o.Size &&
-		p.Overflow == o.Overflow && p.OverflowAfter == o.OverflowAfter &&
-		slices.EqualFunc(p.Any, o.Any, func(a, b []Members) bool { return slices.EqualFunc(a, b, members) })
+	return p == other || p.Name == other.Name && p.MinCount == other.MinCount && p.MinShare == other.MinShare && p.Size == other.Size &&
+		p.Overflow == other.Overflow && p.OverflowAfter == other.OverflowAfter &&
+		slices.EqualFunc(p.Any, other.Any, func(a, b []Members) bool { return slices.EqualFunc(a, b, sameMembers) })
 }
 
 var hashSeed = maphash.MakeSeed()
 
-func (t *Table) build(list []*entry, used uint, before *Table) *node {
-	var h maphash.Hash
-	h.SetSeed(hashSeed)
-	for _, e := range list {
-		maphash.WriteComparable(&h, e)
+// build returns the tree of a list of entries: an equal node of this or the previous version, or else a new one. used
+// is the set of fields that the tree may not split by.
+func (t *Table) build(entries []*entry, used uint, previous *Table) *node {
+	var hash maphash.Hash
+	hash.SetSeed(hashSeed)
+	for _, e := range entries {
+		maphash.WriteComparable(&hash, e)
 	}
-	maphash.WriteComparable(&h, used)
-	key := h.Sum64()
-	alike := func(n *node) bool { return n.used == used && slices.Equal(n.of, list) }
-	if n := slices.IndexFunc(t.known[key], alike); n >= 0 {
-		return t.known[key][n]
+	maphash.WriteComparable(&hash, used)
+	key := hash.Sum64()
+	isSame := func(n *node) bool { return n.usedFields == used && slices.Equal(n.allEntries, entries) }
+	if n := slices.IndexFunc(t.nodesByHash[key], isSame); n >= 0 {
+		return t.nodesByHash[key][n]
 	}
-	if before != nil {
-		if n := slices.IndexFunc(before.known[key], alike); n >= 0 {
-			t.takeOver(before.known[key][n], before)
-			return before.known[key][n]
+	if previous != nil {
+		if n := slices.IndexFunc(previous.nodesByHash[key], isSame); n >= 0 {
+			t.adopt(previous.nodesByHash[key][n], previous)
+			return previous.nodesByHash[key][n]
 		}
 	}
-	n := &node{of: list, used: used, key: key}
-	t.known[key] = append(t.known[key], n)
-	t.nodes++
-	if len(list) <= leafSize || !t.split(n, before) {
-		n.list = list
+	n := &node{allEntries: entries, usedFields: used, hash: key}
+	t.nodesByHash[key] = append(t.nodesByHash[key], n)
+	t.nodeCount++
+	if len(entries) <= maxLeafEntries || !t.split(n, previous) {
+		n.entries = entries
 	}
 	return n
 }
 
-// takeOver makes a shared part known to this version too, for the next one.
-func (t *Table) takeOver(n *node, before *Table) {
-	if slices.Contains(t.known[n.key], n) {
+// adopt adds the nodes of a shared subtree to this table, so that the next version can share them too.
+func (t *Table) adopt(n *node, previous *Table) {
+	if slices.Contains(t.nodesByHash[n.hash], n) {
 		return
 	}
-	t.known[n.key] = append(t.known[n.key], n)
-	t.nodes++
-	t.shared++
-	for _, kid := range n.kids {
-		t.takeOver(kid, before)
+	t.nodesByHash[n.hash] = append(t.nodesByHash[n.hash], n)
+	t.nodeCount++
+	t.sharedNodes++
+	for _, child := range n.children {
+		t.adopt(child, previous)
 	}
-	for _, kid := range n.exact {
-		t.takeOver(kid, before)
+	for _, child := range n.byLiteral {
+		t.adopt(child, previous)
 	}
-	if n.texts != nil {
-		n.texts.Root().Walk(func(_ []byte, kid *node) bool { t.takeOver(kid, before); return false })
+	if n.byPrefix != nil {
+		n.byPrefix.Root().Walk(func(_ []byte, child *node) bool { t.adopt(child, previous); return false })
 	}
 }
 
-// split divides a node by the field that leaves the least to try one by one.
-func (t *Table) split(n *node, before *Table) bool {
-	best, least := -1, len(n.of)
-	var texts, literal map[string][]*entry
+// split splits a node by the field whose largest child has the fewest entries. It returns false if no field reduces the
+// entries by at least a tenth.
+func (t *Table) split(n *node, previous *Table) bool {
+	bestField, smallest := -1, len(n.allEntries)
+	var byPrefix, byLiteral map[string][]*entry
 	var cuts []int64
-	var kids [][]*entry
-	for f := range fields {
-		if n.used&(1<<f) != 0 {
+	var children [][]*entry
+	for f := range fieldCount {
+		if n.usedFields&(1<<f) != 0 {
 			continue
 		}
 		if f.isText() {
-			if words, parts := byText(n.of, f); parts != nil {
-				if most := max(mostOf(words), mostOf(parts)); most < least {
-					best, least, literal, texts = int(f), most, words, parts
+			if literals, prefixes := splitByText(n.allEntries, f); prefixes != nil {
+				if largest := max(longestList(literals), longestList(prefixes)); largest < smallest {
+					bestField, smallest, byLiteral, byPrefix = int(f), largest, literals, prefixes
 				}
 			}
-		} else if c, k := byCuts(n.of, f); k != nil {
-			most := 0
-			for _, kid := range k {
-				most = max(most, len(kid))
+		} else if c, k := splitByNumber(n.allEntries, f); k != nil {
+			largest := 0
+			for _, child := range k {
+				largest = max(largest, len(child))
 			}
-			if most < least {
-				best, least, cuts, kids = int(f), most, c, k
+			if largest < smallest {
+				bestField, smallest, cuts, children = int(f), largest, c, k
 			}
 		}
 	}
-	if best < 0 || least > len(n.of)*9/10 {
+	if bestField < 0 || smallest > len(n.allEntries)*9/10 {
 		return false
 	}
-	n.field = Field(best)
-	used := n.used | 1<<best
+	n.field = Field(bestField)
+	used := n.usedFields | 1<<bestField
 	if !n.field.isText() {
-		n.cuts = cuts
-		for _, kid := range kids {
-			n.kids = append(n.kids, t.build(kid, used, before))
+		n.bounds = cuts
+		for _, child := range children {
+			n.children = append(n.children, t.build(child, used, previous))
 		}
 		return true
 	}
-	n.exact = make(map[string]*node, len(literal))
-	for _, key := range sorted(literal) {
-		n.exact[key] = t.build(literal[key], used, before)
+	n.byLiteral = make(map[string]*node, len(byLiteral))
+	for _, key := range sorted(byLiteral) {
+		n.byLiteral[key] = t.build(byLiteral[key], used, previous)
 	}
-	tx := iradix.New[*node]().Txn()
-	for _, key := range sorted(texts) {
-		tx.Insert([]byte(key), t.build(texts[key], used, before))
+	txn := iradix.New[*node]().Txn()
+	for _, key := range sorted(byPrefix) {
+		txn.Insert([]byte(key), t.build(byPrefix[key], used, previous))
 	}
-	n.texts = tx.Commit()
+	n.byPrefix = txn.Commit()
 	return true
 }
 
-func mostOf(parts map[string][]*entry) (most int) {
-	for _, list := range parts {
-		most = max(most, len(list))
+func longestList(lists map[string][]*entry) (largest int) {
+	for _, list := range lists {
+		largest = max(largest, len(list))
 	}
-	return most
+	return largest
 }
 
-// sorted lists the keys of a map, so that no order depends on it.
+// sorted returns the keys of a map in order, so that no result depends on the order of the map's iteration.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// prefixes are what the texts that a box allows in a field begin with: one of them each.
+// prefixes returns literal prefixes such that each text that the box allows in a field begins with one of them.
 func (e *entry) prefixes(f Field) []string {
-	if e.box == nil || len(e.box.texts[f].any) == 0 {
+	if e.box == nil || len(e.box.texts[f].included) == 0 {
 		return []string{""}
 	}
-	var out []string
-	for _, p := range e.box.texts[f].any[0] {
-		out = append(out, p.prefix())
+	var result []string
+	for _, pattern := range e.box.texts[f].included[0] {
+		result = append(result, pattern.literalPrefix())
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(result)
+	return slices.Compact(result)
 }
 
-// mostRoom bounds how often entries may stand in a tree, as those that name no text of a field stand under each that
-// is named.
-func mostRoom(entries int) int { return 16*entries + 4096 }
+// maxCopies bounds the total number of entries in the children of a node. Entries that do not name a text of the field
+// are repeated under each text that others name.
+func maxCopies(entries int) int { return 16*entries + 4096 }
 
-// byText lists the entries that a text may meet: for each literal that is named, and, for texts that are none, for
-// each prefix that a pattern names and is the longest one. prefixes is nil where there is nothing to tell apart, or
-// where it would take too much room.
-func byText(list []*entry, f Field) (literals, prefixes map[string][]*entry) {
+// splitByText returns the entries that a text may match: for each literal, and for texts that are no literal, for the
+// longest literal prefix of a pattern that the text begins with. Both results are nil if the field does not
+// distinguish the entries, or if there would be too many copies of them.
+func splitByText(entries []*entry, field Field) (literals, prefixes map[string][]*entry) {
 	literals, prefixes = map[string][]*entry{}, map[string][]*entry{"": nil}
 	add := func(parts map[string][]*entry, key string, e *entry) {
-		if own := parts[key]; len(own) == 0 || own[len(own)-1] != e {
-			parts[key] = append(own, e)
+		if existing := parts[key]; len(existing) == 0 || existing[len(existing)-1] != e {
+			parts[key] = append(existing, e)
 		}
 	}
-	for _, e := range list {
-		if e.box != nil && e.box.texts[f].done {
-			for _, p := range e.box.texts[f].any[0] {
-				text, _ := p.Literal()
+	for _, e := range entries {
+		if e.box != nil && e.box.texts[field].onlyLiterals {
+			for _, pattern := range e.box.texts[field].included[0] {
+				text, _ := pattern.Literal()
 				add(literals, text, e)
 			}
 			continue
 		}
-		for _, prefix := range e.prefixes(f) {
+		for _, prefix := range e.prefixes(field) {
 			add(prefixes, prefix, e)
 		}
 	}
 	if len(literals) == 0 && len(prefixes) == 1 {
 		return nil, nil
 	}
-	// A text meets what is under its longest prefix and under all shorter ones, a literal what is under its prefixes.
+	// A text can match the entries of its longest prefix and of all shorter ones; a literal also those of its prefixes.
 	keys := sorted(prefixes)
-	room := mostRoom(len(list))
-	under := make(map[string][]*entry, len(prefixes))
-	together := func(a, b []*entry) []*entry {
+	remaining := maxCopies(len(entries))
+	byPrefix := make(map[string][]*entry, len(prefixes))
+	merge := func(a, b []*entry) []*entry {
 		if len(a) == 0 {
 			return b
 		}
 		all := slices.Concat(a, b)
-		slices.SortStableFunc(all, func(a, b *entry) int { return cmp.Compare(a.place, b.place) })
+		slices.SortStableFunc(all, func(a, b *entry) int { return cmp.Compare(a.rank, b.rank) })
 		return all
 	}
-	var over []string // prefixes of the key at hand
+	var stack []string // stack of the prefixes of the current key, shortest first
 	for _, key := range keys {
-		for len(over) > 0 && !strings.HasPrefix(key, over[len(over)-1]) {
-			over = over[:len(over)-1]
+		for len(stack) > 0 && !strings.HasPrefix(key, stack[len(stack)-1]) {
+			stack = stack[:len(stack)-1]
 		}
-		own := prefixes[key]
-		if len(over) > 0 {
-			own = together(under[over[len(over)-1]], own)
+		existing := prefixes[key]
+		if len(stack) > 0 {
+			existing = merge(byPrefix[stack[len(stack)-1]], existing)
 		}
-		if room -= len(own); room < 0 {
+		if remaining -= len(existing); remaining < 0 {
 			return nil, nil
 		}
-		under[key] = own
-		over = append(over, key)
+		byPrefix[key] = existing
+		stack = append(stack, key)
 	}
 	for _, text := range sorted(literals) {
 		longest := ""
-		for n := len(text); n > 0; n-- {
-			if _, named := under[text[:n]]; named {
-				longest = text[:n]
+		for length := len(text); length > 0; length-- {
+			if _, found := byPrefix[text[:length]]; found {
+				longest = text[:length]
 				break
 			}
 		}
-		literals[text] = together(under[longest], literals[text])
-		if room -= len(literals[text]); room < 0 {
+		literals[text] = merge(byPrefix[longest], literals[text])
+		if remaining -= len(literals[text]); remaining < 0 {
 			return nil, nil
 		}
 	}
-	return literals, under
+	return literals, byPrefix
 }
 
-// byCuts lists, for each span between the figures where some box begins or ends, the entries that it may meet. Where
-// that takes too much room, only some of the figures are used.
-func byCuts(list []*entry, f Field) (cuts []int64, kids [][]*entry) {
-	for _, e := range list {
+// splitByNumber returns the intervals between the numbers where a range of some box begins or ends, each by its lower
+// bound, and the entries that a number of the interval may match. If there would be too many copies of entries, it drops
+// every second bound until there are not.
+func splitByNumber(entries []*entry, field Field) (bounds []int64, children [][]*entry) {
+	for _, e := range entries {
 		if e.box == nil {
 			continue
 		}
-		for _, r := range e.box.figures[f-Tables] {
-			cuts = append(cuts, r.From)
+		for _, r := range e.box.numbers[field-Tables] {
+			bounds = append(bounds, r.From)
 			if r.To < math.MaxInt64 {
-				cuts = append(cuts, r.To+1)
+				bounds = append(bounds, r.To+1)
 			}
 		}
 	}
-	cuts = append(cuts, Untold)
-	slices.Sort(cuts)
-	cuts = slices.Compact(cuts)
+	bounds = append(bounds, Untold)
+	slices.Sort(bounds)
+	bounds = slices.Compact(bounds)
 	for {
-		if len(cuts) < 2 {
+		if len(bounds) < 2 {
 			return nil, nil
 		}
-		if kids = fill(cuts, list, f); kids != nil {
-			return cuts, kids
+		if children = assignToIntervals(bounds, entries, field); children != nil {
+			return bounds, children
 		}
-		for n := range (len(cuts) + 1) / 2 { // each second one
-			cuts[n] = cuts[2*n]
+		for n := range (len(bounds) + 1) / 2 { // keep every second bound
+			bounds[n] = bounds[2*n]
 		}
-		cuts = cuts[:(len(cuts)+1)/2]
+		bounds = bounds[:(len(bounds)+1)/2]
 	}
 }
 
-func fill(cuts []int64, list []*entry, f Field) [][]*entry {
-	kids := make([][]*entry, len(cuts))
-	room := mostRoom(len(list))
-	for _, e := range list {
-		ranges := whole
+// assignToIntervals returns the entries of each interval, or nil if there would be too many copies of them.
+func assignToIntervals(bounds []int64, entries []*entry, field Field) [][]*entry {
+	children := make([][]*entry, len(bounds))
+	remaining := maxCopies(len(entries))
+	for _, e := range entries {
+		ranges := allNumbers
 		if e.box != nil {
-			ranges = e.box.figures[f-Tables]
+			ranges = e.box.numbers[field-Tables]
 		}
 		for _, r := range ranges {
-			for n := place(cuts, r.From); n < len(cuts) && cuts[n] <= r.To; n++ {
-				if own := kids[n]; len(own) == 0 || own[len(own)-1] != e {
-					kids[n] = append(own, e)
-					if room--; room < 0 {
+			for n := intervalOf(bounds, r.From); n < len(bounds) && bounds[n] <= r.To; n++ {
+				if existing := children[n]; len(existing) == 0 || existing[len(existing)-1] != e {
+					children[n] = append(existing, e)
+					if remaining--; remaining < 0 {
 						return nil
 					}
 				}
 			}
 		}
 	}
-	return kids
+	return children
 }
 
-// place is the span that a figure is in.
-func place(cuts []int64, figure int64) int {
-	n, found := slices.BinarySearch(cuts, figure)
+// intervalOf returns the index of the interval that a number is in.
+func intervalOf(bounds []int64, number int64) int {
+	index, found := slices.BinarySearch(bounds, number)
 	if !found {
-		n--
+		index--
 	}
-	return max(n, 0)
+	return max(index, 0)
 }
 
-// Find gives the first route that takes a job, or nil. It allocates nothing. After a change of versions it may be an
-// equal route of an earlier one.
+// Find returns the first route that matches a job, or nil. It does not allocate. For an unchanged route it may return
+// the equal Route of an earlier version.
 func (t *Table) Find(j *Job) *Route {
 	var best *entry
 	for n := range t.groups {
 		g := &t.groups[n]
-		if best != nil && best.place < g.first {
+		if best != nil && best.rank < g.firstRank {
 			break
 		}
-		if e := g.root.find(j); e != nil && (best == nil || e.place < best.place) {
+		if e := g.root.find(j); e != nil && (best == nil || e.rank < best.rank) {
 			best = e
 		}
 	}
@@ -540,23 +551,23 @@
 }
 
 func (n *node) find(j *Job) *entry {
-	for n.list == nil {
+	for n.entries == nil {
 		switch {
-		case n.texts != nil:
+		case n.byPrefix != nil:
 			text := j.text(n.field)
-			next := n.exact[text]
+			next := n.byLiteral[text]
 			if next == nil {
-				_, next, _ = n.texts.Root().LongestPrefix(unsafe.Slice(unsafe.StringData(text), len(text)))
+				_, next, _ = n.byPrefix.Root().LongestPrefix(unsafe.Slice(unsafe.StringData(text), len(text)))
 			}
 			n = next
-		case n.kids != nil:
-			n = n.kids[place(n.cuts, j.figure(n.field))]
+		case n.children != nil:
+			n = n.children[intervalOf(n.bounds, j.number(n.field))]
 		default:
-			return nil // what is empty
+			return nil // an empty tree
 		}
 	}
-	for _, e := range n.list {
-		if e.holds(j) {
+	for _, e := range n.entries {
+		if e.matches(j) {
 			return e
 		}
 	}
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -10,15 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestTable: the table, also one that shares parts with an earlier version, picks what the plain walk picks.
+// TestTable checks that the table finds the same route as trying all in order, also after changes of the plan, when
+// it shares nodes with the table of the previous version.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := somePlan(t, 30)
+		p := randomPlan(t, 30)
 		table := NewTable(p, nil)
 		for range 3 {
 			for range 20 {
-				if j := someJob(t); name(table.Find(&j)) != name(p.Walk(&j)) {
-					t.Fatalf("%+v: %s, wanted %s", j, name(table.Find(&j)), name(p.Walk(&j)))
+				if j := randomJob(t); routeName(table.Find(&j)) != routeName(p.Walk(&j)) {
+					t.Fatalf("%+v: found route %s, want %s", j, routeName(table.Find(&j)), routeName(p.Walk(&j)))
 				}
 			}
 			next := &Plan{Routes: slices.Clone(p.Routes)}
@@ -26,7 +27,7 @@
 				at := rapid.IntRange(0, len(next.Routes)-1).Draw(t, "changed")
 				switch rapid.IntRange(0, 2).Draw(t, "how") {
 				case 0:
-					next.Routes[at] = &Route{Name: next.Routes[at].Name, Match: someMatch(t, 2)}
+					next.Routes[at] = &Route{Name: next.Routes[at].Name, Match: randomMatch(t, 2)}
 				case 1:
 					next.Routes = slices.Delete(next.Routes, at, at+1)
 				case 2:
@@ -38,47 +39,48 @@
 	})
 }
 
-// TestDifferences: a pair of routes is named exactly when some job moves between them, and each example moves.
+// TestDifferences checks that each reported pair of routes has an example that moves between them, and that each job
+// that moves is between a reported pair.
 func TestDifferences(t *testing.T) {
-	alike := func(a, b *Route) bool { return name(a) == name(b) }
+	alike := func(a, b *Route) bool { return routeName(a) == routeName(b) }
 	rapid.Check(t, func(t *rapid.T) {
-		p, q := somePlan(t, 6), somePlan(t, 6)
-		if same, _ := p.Differences(p, alike); len(same) > 0 {
-			t.Fatalf("with itself: %+v", same)
+		plan, later := randomPlan(t, 6), randomPlan(t, 6)
+		if own, _ := plan.Differences(plan, alike); len(own) > 0 {
+			t.Fatalf("differences of a plan from itself: %+v", own)
 		}
-		moved, complete := p.Differences(q, alike)
+		moved, complete := plan.Differences(later, alike)
 		for _, m := range moved {
-			if from, to := p.Walk(&m.Example), q.Walk(&m.Example); from != m.From || to != m.To {
-				t.Fatalf("%+v goes from %s to %s, not from %s to %s", m.Example, name(from), name(to), name(m.From),
-					name(m.To))
+			if from, to := plan.Walk(&m.Example), later.Walk(&m.Example); from != m.From || to != m.To {
+				t.Fatalf("example %+v moves from %s to %s, but is reported from %s to %s", m.Example, routeName(from), routeName(to), routeName(m.From),
+					routeName(m.To))
 			}
 		}
 		for range 50 {
-			j := someJob(t)
-			from, to := p.Walk(&j), q.Walk(&j)
+			j := randomJob(t)
+			from, to := plan.Walk(&j), later.Walk(&j)
 			if complete && !alike(from, to) && !slices.ContainsFunc(moved, func(m Moved) bool { return m.From == from && m.To == to }) {
-				t.Fatalf("%+v moves from %s to %s, which is not named", j, name(from), name(to))
+				t.Fatalf("%+v moves from %s to %s, which is not reported", j, routeName(from), routeName(to))
 			}
 		}
 	})
 }
 
-// TestUnreached: what is named takes no job, and each route that takes one is not named.
+// TestUnreached checks that no route that takes a job is reported as unreached, and the exact result for some plans.
 func TestUnreached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := somePlan(t, 8)
+		p := randomPlan(t, 8)
 		unreached := p.Unreached()
 		for range 50 {
-			j := someJob(t)
+			j := randomJob(t)
 			if r := p.Walk(&j); slices.ContainsFunc(unreached, func(u Unreached) bool { return u.Route == r }) {
-				t.Fatalf("%s takes %+v", name(r), j)
+				t.Fatalf("route %s is reported as unreached, but takes %+v", routeName(r), j)
 			}
 		}
 	})
 	typeIs := func(words ...Pattern) *Match { return &Match{Op: In, Field: Type, Texts: words} }
 	cost := func(from, to int64) *Match { return &Match{Op: In, Field: Cost, Ranges: []Range{{from, to}}} }
 	and := func(of ...*Match) *Match { return &Match{Op: And, Of: of} }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		routes []*Match
 		want   string
 	}{
@@ -93,7 +95,7 @@
 		{[]*Match{nil, typeIs("b*")}, "[r1 behind r0]"},
 	} {
 		p := &Plan{}
-		for n, m := range c.routes {
+		for n, m := range test.routes {
 			p.Routes = append(p.Routes, &Route{Name: RouteName(fmt.Sprint("r", n)), Match: m})
 		}
 		got := []string{}
@@ -104,28 +106,29 @@
 			}
 			got = append(got, s)
 		}
-		if fmt.Sprint(got) != c.want {
-			t.Errorf("%v, wanted %s", got, c.want)
+		if fmt.Sprint(got) != test.want {
+			t.Errorf("unreached routes: got %v, want %s", got, test.want)
 		}
 	}
 }
 
-// manyRoutes is a plan of a large installation: most routes name customers, some tables, cost or patterns.
-func manyRoutes(n int) (*Plan, func(rng *rand.Rand) Job) {
+// largePlan returns a plan like that of a large installation and a generator of jobs for it. Most routes test the type
+// and the customer; some test the tables, the cost or a pattern.
+func largePlan(n int) (*Plan, func(rng *rand.Rand) Job) {
 	types := []Pattern{"consulta", "tabulado", "carga", "exporta"}
-	is := func(f Field, words ...Pattern) *Match { return &Match{Op: In, Field: f, Texts: words} }
+	oneOf := func(f Field, words ...Pattern) *Match { return &Match{Op: In, Field: f, Texts: words} }
 	p := &Plan{}
 	for i := range n {
 		var m *Match
 		switch i % 10 {
 		case 0:
-			m = &Match{Op: And, Of: []*Match{is(Type, types[i%4]),
+			m = &Match{Op: And, Of: []*Match{oneOf(Type, types[i%4]),
 				{Op: In, Field: Tables, Ranges: []Range{{int64(i), int64(i + 5)}}}}}
 		case 1:
-			m = &Match{Op: And, Of: []*Match{is(Customer, Pattern(fmt.Sprintf("org-%d-*", i))),
+			m = &Match{Op: And, Of: []*Match{oneOf(Customer, Pattern(fmt.Sprintf("org-%d-*", i))),
 				{Op: In, Field: Cost, Ranges: []Range{{int64(time.Second), int64(time.Minute)}}}}}
 		default:
-			m = &Match{Op: And, Of: []*Match{is(Type, types[i%4], types[(i+1)%4]), is(Customer, Pattern(fmt.Sprint("org-", i)))}}
+			m = &Match{Op: And, Of: []*Match{oneOf(Type, types[i%4], types[(i+1)%4]), oneOf(Customer, Pattern(fmt.Sprint("org-", i)))}}
 		}
 		p.Routes = append(p.Routes, &Route{Name: RouteName(fmt.Sprint("r", i)), Match: m})
 	}
@@ -141,71 +144,72 @@
 	}
 }
 
-// TestSharing: of ten thousand routes, a version that changes one shares nearly all of the table.
+// TestSharing checks that a new version that changes one of ten thousand routes shares at least 90% of the nodes with
+// the previous table, and that Find does not allocate.
 func TestSharing(t *testing.T) {
-	p, job := manyRoutes(10_000)
+	p, job := largePlan(10_000)
 	first := NewTable(p, nil)
 	next := &Plan{Routes: slices.Clone(p.Routes)}
 	next.Routes[17] = &Route{Name: "r17", Match: &Match{Op: In, Field: Customer, Texts: []Pattern{"org-other"}}}
 	second := NewTable(next, first)
-	if second.shared < second.nodes*9/10 {
-		t.Errorf("%d of %d nodes shared", second.shared, second.nodes)
+	if second.sharedNodes < second.nodeCount*9/10 {
+		t.Errorf("%d of %d nodes are shared, want at least nine tenths", second.sharedNodes, second.nodeCount)
 	}
 	rng := rand.New(rand.NewSource(1))
 	for range 2000 {
-		if j := job(rng); name(second.Find(&j)) != name(next.Walk(&j)) {
-			t.Fatalf("%+v: %s, wanted %s", j, name(second.Find(&j)), name(next.Walk(&j)))
+		if j := job(rng); routeName(second.Find(&j)) != routeName(next.Walk(&j)) {
+			t.Fatalf("%+v: found route %s, want %s", j, routeName(second.Find(&j)), routeName(next.Walk(&j)))
 		}
 	}
 	j := job(rng)
 	if n := testing.AllocsPerRun(100, func() { second.Find(&j) }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("Find made %v allocations, want none", n)
 	}
 }
 
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
-		p, job := manyRoutes(n)
+		p, job := largePlan(n)
 		table := NewTable(p, nil)
 		rng := rand.New(rand.NewSource(1))
 		jobs := make([]Job, 4096)
 		for i := range jobs {
 			jobs[i] = job(rng)
 		}
-		for way, find := range map[string]func(*Job) *Route{"table": table.Find, "walk": p.Walk} {
-			b.Run(fmt.Sprintf("%s/%d", way, n), func(b *testing.B) {
+		for kind, find := range map[string]func(*Job) *Route{"table": table.Find, "walk": p.Walk} {
+			b.Run(fmt.Sprintf("%s/%d", kind, n), func(b *testing.B) {
 				b.ReportAllocs()
-				took := make([]time.Duration, 0, 1<<16)
+				durations := make([]time.Duration, 0, 1<<16)
 				i := 0
 				for b.Loop() {
-					if len(took) < cap(took) {
-						from := time.Now()
+					if len(durations) < cap(durations) {
+						start := time.Now()
 						find(&jobs[i%len(jobs)])
-						took = append(took, time.Since(from))
+						durations = append(durations, time.Since(start))
 					} else {
 						find(&jobs[i%len(jobs)])
 					}
 					i++
 				}
-				slices.Sort(took)
-				b.ReportMetric(float64(took[len(took)*99/100].Nanoseconds()), "p99-ns")
+				slices.Sort(durations)
+				b.ReportMetric(float64(durations[len(durations)*99/100].Nanoseconds()), "p99-ns")
 			})
 		}
 	}
 }
 
 func BenchmarkNewTable(b *testing.B) {
-	p, _ := manyRoutes(10_000)
+	p, _ := largePlan(10_000)
 	for b.Loop() {
 		NewTable(p, nil)
 	}
 }
 
 func BenchmarkUnreached(b *testing.B) {
-	p, _ := manyRoutes(10_000)
+	p, _ := largePlan(10_000)
 	for b.Loop() {
 		if len(p.Unreached()) > 0 {
-			b.Fatal("unreached")
+			b.Fatal("a route is reported as unreached")
 		}
 	}
 }
