--- a/decide/route/text.go
+++ b/decide/route/text.go
@@ -6,19 +6,20 @@
 	"unicode/utf8"
 )
 
-// Pattern is a text in which * stands for any characters and ? for one; a backslash takes either by its word.
+// Pattern is a glob: * matches any sequence of characters and ? matches one character. A backslash makes the character
+// after it literal.
 type Pattern string
 
-// Literal gives the one text that a pattern without wildcards means.
+// Literal returns the only text that the pattern matches, and false if the pattern has wildcards.
 func (p Pattern) Literal() (string, bool) {
 	if !strings.ContainsAny(string(p), `*?\`) {
 		return string(p), true
 	}
-	text := p.prefix()
-	return text, len(p.parts()) == utf8.RuneCountInString(text)
+	text := p.literalPrefix()
+	return text, len(p.tokens()) == utf8.RuneCountInString(text)
 }
 
-// Escape is the pattern that means one text only.
+// Escape returns the pattern that matches only the given text.
 func Escape(text string) Pattern {
 	if !strings.ContainsAny(text, `\*?`) {
 		return Pattern(text)
@@ -26,39 +27,39 @@
 	return Pattern(strings.NewReplacer(`\`, `\\`, `*`, `\*`, `?`, `\?`).Replace(text))
 }
 
-// The parts of a pattern are characters, or one of these.
-const anything, anyOne rune = -1, -2
+// A pattern is parsed to tokens: characters, or one of these wildcards.
+const anySequence, anyCharacter rune = -1, -2
 
-func (p Pattern) parts() (out []rune) {
-	for s := string(p); s != ""; {
-		r, size := utf8.DecodeRuneInString(s)
+func (p Pattern) tokens() (tokens []rune) {
+	for rest := string(p); rest != ""; {
+		r, size := utf8.DecodeRuneInString(rest)
 		switch {
 		case r == '*':
-			r = anything
+			r = anySequence
 		case r == '?':
-			r = anyOne
-		case r == '\\' && len(s) > 1:
-			s = s[1:]
-			r, size = utf8.DecodeRuneInString(s)
+			r = anyCharacter
+		case r == '\\' && len(rest) > 1:
+			rest = rest[1:]
+			r, size = utf8.DecodeRuneInString(rest)
 		}
-		if s = s[size:]; r != anything || len(out) == 0 || out[len(out)-1] != anything {
-			out = append(out, r)
+		if rest = rest[size:]; r != anySequence || len(tokens) == 0 || tokens[len(tokens)-1] != anySequence {
+			tokens = append(tokens, r)
 		}
 	}
-	return out
+	return tokens
 }
 
-// fill is a text that is meant, with a text for each *.
-func (p Pattern) fill(with string) string {
-	if text, is := p.Literal(); is {
+// sample returns a text that the pattern matches, with the given text in place of each *.
+func (p Pattern) sample(wildcardText string) string {
+	if text, isLiteral := p.Literal(); isLiteral {
 		return text
 	}
 	var b strings.Builder
-	for _, r := range p.parts() {
+	for _, r := range p.tokens() {
 		switch r {
-		case anything:
-			b.WriteString(with)
-		case anyOne:
+		case anySequence:
+			b.WriteString(wildcardText)
+		case anyCharacter:
 			b.WriteByte('x')
 		default:
 			b.WriteRune(r)
@@ -67,13 +68,14 @@
 	return b.String()
 }
 
-// prefix is what all texts meant begin with.
-func (p Pattern) prefix() string {
+// literalPrefix returns the prefix that all texts that the pattern matches have in common: what is before the first
+// wildcard.
+func (p Pattern) literalPrefix() string {
 	if n := strings.IndexAny(string(p), `*?\`); n < 0 {
 		return string(p)
 	}
 	var b strings.Builder
-	for _, r := range p.parts() {
+	for _, r := range p.tokens() {
 		if r < 0 {
 			break
 		}
@@ -82,40 +84,41 @@
 	return b.String()
 }
 
-// Matches tells whether a text is meant. It takes at most the product of both lengths, and allocates nothing.
+// Matches reports whether the pattern matches a text. It takes time proportional to at most the product of both lengths
+// and does not allocate.
 func (p Pattern) Matches(text string) bool {
-	at, in := 0, 0
-	star, mark := -1, 0
-	for in < len(text) {
-		if at < len(p) {
-			switch ch := p[at]; {
-			case ch == '*':
-				star, mark = at, in
-				at++
+	patternPos, textPos := 0, 0
+	starPos, starTextPos := -1, 0
+	for textPos < len(text) {
+		if patternPos < len(p) {
+			switch char := p[patternPos]; {
+			case char == '*':
+				starPos, starTextPos = patternPos, textPos
+				patternPos++
 				continue
-			case ch == '?':
-				_, size := utf8.DecodeRuneInString(text[in:])
-				at, in = at+1, in+size
+			case char == '?':
+				_, size := utf8.DecodeRuneInString(text[textPos:])
+				patternPos, textPos = patternPos+1, textPos+size
 				continue
-			case ch == '\\' && at+1 < len(p) && p[at+1] == text[in]:
-				at, in = at+2, in+1
+			case char == '\\' && patternPos+1 < len(p) && p[patternPos+1] == text[textPos]:
+				patternPos, textPos = patternPos+2, textPos+1
 				continue
-			case (ch != '\\' || at+1 == len(p)) && ch == text[in]:
-				at, in = at+1, in+1
+			case (char != '\\' || patternPos+1 == len(p)) && char == text[textPos]:
+				patternPos, textPos = patternPos+1, textPos+1
 				continue
 			}
 		}
-		if star < 0 {
+		if starPos < 0 {
 			return false
 		}
-		_, size := utf8.DecodeRuneInString(text[mark:])
-		mark += size
-		at, in = star+1, mark
+		_, size := utf8.DecodeRuneInString(text[starTextPos:])
+		starTextPos += size
+		patternPos, textPos = starPos+1, starTextPos
 	}
-	for at < len(p) && p[at] == '*' {
-		at++
+	for patternPos < len(p) && p[patternPos] == '*' {
+		patternPos++
 	}
-	return at == len(p)
+	return patternPos == len(p)
 }
 
 func matchesAny(patterns []Pattern, text string) bool {
@@ -127,102 +130,104 @@
 	return false
 }
 
-// textSet holds the texts that match one pattern of each list of any, and none of none.
+// textSet is the set of texts that match at least one pattern of each list in included, and no pattern in excluded.
 type textSet struct {
-	any  [][]Pattern
-	none []Pattern
-	done bool // any is one list of literals, and none is empty
+	included     [][]Pattern
+	excluded     []Pattern
+	onlyLiterals bool // included is one list of literals, and excluded is empty
 }
 
-func (t *textSet) holds(text string) bool {
-	for _, list := range t.any {
+func (t *textSet) contains(text string) bool {
+	for _, list := range t.included {
 		if !matchesAny(list, text) {
 			return false
 		}
 	}
-	return len(t.none) == 0 || !matchesAny(t.none, text)
+	return len(t.excluded) == 0 || !matchesAny(t.excluded, text)
 }
 
-// simple brings a set that can only be some literals into the form of one list of them.
-func (t textSet) simple() textSet {
-	least := -1
-	for n, list := range t.any {
-		literal := !slices.ContainsFunc(list, func(p Pattern) bool { _, is := p.Literal(); return !is })
-		if literal && (least < 0 || len(list) < len(t.any[least])) {
-			least = n
+// simplify reduces a set with a list of only literals to the literals that are in the set. It returns other sets
+// unchanged.
+func (t textSet) simplify() textSet {
+	shortest := -1
+	for n, list := range t.included {
+		onlyLiterals := !slices.ContainsFunc(list, func(p Pattern) bool { _, isLiteral := p.Literal(); return !isLiteral })
+		if onlyLiterals && (shortest < 0 || len(list) < len(t.included[shortest])) {
+			shortest = n
 		}
 	}
-	if least < 0 {
+	if shortest < 0 {
 		return t
 	}
-	var some []Pattern
-	for _, p := range t.any[least] {
-		if text, _ := p.Literal(); t.holds(text) && !slices.Contains(some, Escape(text)) {
-			some = append(some, Escape(text))
+	var literals []Pattern
+	for _, p := range t.included[shortest] {
+		if text, _ := p.Literal(); t.contains(text) && !slices.Contains(literals, Escape(text)) {
+			literals = append(literals, Escape(text))
 		}
 	}
-	return textSet{any: [][]Pattern{some}, done: true}
+	return textSet{included: [][]Pattern{literals}, onlyLiterals: true}
 }
 
-func (t textSet) with(o textSet) textSet {
+// intersect returns the texts that are in both sets.
+func (t textSet) intersect(other textSet) textSet {
 	switch {
-	case len(o.any) == 0 && len(o.none) == 0:
+	case len(other.included) == 0 && len(other.excluded) == 0:
 		return t
-	case len(t.any) == 0 && len(t.none) == 0:
-		return o
+	case len(t.included) == 0 && len(t.excluded) == 0:
+		return other
 	}
-	both := textSet{any: slices.Concat(t.any, o.any), none: slices.Concat(t.none, o.none)}
-	slices.Sort(both.none)
-	both.none = slices.Compact(both.none)
-	return both.simple()
+	common := textSet{included: slices.Concat(t.included, other.included), excluded: slices.Concat(t.excluded, other.excluded)}
+	slices.Sort(common.excluded)
+	common.excluded = slices.Compact(common.excluded)
+	return common.simplify()
 }
 
-// never tells sets that are clearly empty; example decides the rest.
-func (t *textSet) never() bool { return t.done && len(t.any[0]) == 0 }
+// clearlyEmpty is a quick test for an empty set. It may report false for some empty sets; example decides these.
+func (t *textSet) clearlyEmpty() bool { return t.onlyLiterals && len(t.included[0]) == 0 }
 
-func (t *textSet) clearlyApart(o *textSet) bool {
-	if t.done && len(t.any[0]) == 1 {
-		text, _ := t.any[0][0].Literal()
-		return !o.holds(text)
+func (t *textSet) clearlyDisjoint(other *textSet) bool {
+	if t.onlyLiterals && len(t.included[0]) == 1 {
+		text, _ := t.included[0][0].Literal()
+		return !other.contains(text)
 	}
-	if o.done && len(o.any[0]) == 1 {
-		text, _ := o.any[0][0].Literal()
-		return !t.holds(text)
+	if other.onlyLiterals && len(other.included[0]) == 1 {
+		text, _ := other.included[0][0].Literal()
+		return !t.contains(text)
 	}
 	return false
 }
 
-// others are sets that together hold all that this one does not.
-func (t *textSet) others() (out []textSet) {
-	for _, list := range t.any {
-		out = append(out, textSet{none: list})
+// complement returns sets whose union is all texts that are not in this set.
+func (t *textSet) complement() (sets []textSet) {
+	for _, list := range t.included {
+		sets = append(sets, textSet{excluded: list})
 	}
-	if len(t.none) > 0 {
-		out = append(out, textSet{any: [][]Pattern{t.none}}.simple())
+	if len(t.excluded) > 0 {
+		sets = append(sets, textSet{included: [][]Pattern{t.excluded}}.simplify())
 	}
-	return out
+	return sets
 }
 
-// mostStates bounds the search for a text by automata. Sets of a few patterns take some hundred.
-const mostStates = 20_000
+// maxStates bounds the number of automaton states that search visits. Sets of a few patterns need some hundred.
+const maxStates = 20_000
 
-// example gives a text of the set. known is false where the search was given up.
+// example returns a text of the set. known is false if the search reached its bound without an answer.
 func (t *textSet) example() (text string, found, known bool) {
-	if t.done {
-		if len(t.any[0]) == 0 {
+	if t.onlyLiterals {
+		if len(t.included[0]) == 0 {
 			return "", false, true
 		}
-		text, _ = t.any[0][0].Literal()
+		text, _ = t.included[0][0].Literal()
 		return text, true, true
 	}
-	// Likely ones first: each pattern's own text with its wildcards filled in.
+	// Try likely texts first: those of the patterns, with a few texts in place of the wildcards.
 	for _, fill := range [...]string{"x", "", "q7", "zz-9"} {
 		candidates := []Pattern{"*"}
-		if len(t.any) > 0 {
-			candidates = t.any[0]
+		if len(t.included) > 0 {
+			candidates = t.included[0]
 		}
 		for _, p := range candidates {
-			if text = p.fill(fill); t.holds(text) {
+			if text = p.sample(fill); t.contains(text) {
 				return text, true, true
 			}
 		}
@@ -230,67 +235,70 @@
 	return t.search()
 }
 
-// automaton runs one pattern; its state is the set of parts that may come next, as bits.
+// automaton is the nondeterministic finite automaton of one pattern. Its state is a bit set of the tokens that may match
+// the next character; a bit past the last token stands for a complete match.
 type automaton struct {
-	parts []rune
-	size  int // words of bits
+	tokens     []rune
+	stateWords int // length of the state in 64-bit words
 }
 
-func (a automaton) add(state []uint64, at int) {
-	state[at/64] |= 1 << (at % 64)
-	if at < len(a.parts) && a.parts[at] == anything {
-		a.add(state, at+1)
+// addToken adds a token to the state, and the one after it if the token is *, which also matches nothing.
+func (a automaton) addToken(state []uint64, index int) {
+	state[index/64] |= 1 << (index % 64)
+	if index < len(a.tokens) && a.tokens[index] == anySequence {
+		a.addToken(state, index+1)
 	}
 }
 
+// step adds to next the tokens that are reached from state by one character.
 func (a automaton) step(state, next []uint64, r rune) {
-	for at, part := range a.parts {
-		if state[at/64]&(1<<(at%64)) == 0 {
+	for index, token := range a.tokens {
+		if state[index/64]&(1<<(index%64)) == 0 {
 			continue
 		}
-		if part == anything {
-			a.add(next, at)
-		} else if part == anyOne || part == r {
-			a.add(next, at+1)
+		if token == anySequence {
+			a.addToken(next, index)
+		} else if token == anyCharacter || token == r {
+			a.addToken(next, index+1)
 		}
 	}
 }
 
 func (a automaton) accepts(state []uint64) bool {
-	return state[len(a.parts)/64]&(1<<(len(a.parts)%64)) != 0
+	return state[len(a.tokens)/64]&(1<<(len(a.tokens)%64)) != 0
 }
 
-// search runs all patterns side by side over ever longer texts, made of the characters that they name and one that
-// none does, until one is in the set or no new state is met.
+// search runs the automata of all patterns in parallel, breadth first over texts of growing length, until a text is in
+// the set or there is no unvisited state. The texts consist of the characters in the patterns and one that is in none.
 func (t *textSet) search() (text string, found, known bool) {
-	var all []automaton
-	letters := []rune{}
-	size := 0
-	for _, list := range append(slices.Clone(t.any), t.none) {
+	var automata []automaton
+	alphabet := []rune{}
+	stateWords := 0
+	for _, list := range append(slices.Clone(t.included), t.excluded) {
 		for _, p := range list {
-			a := automaton{parts: p.parts()}
-			a.size = len(a.parts)/64 + 1
-			size += a.size
-			all = append(all, a)
-			for _, r := range a.parts {
+			a := automaton{tokens: p.tokens()}
+			a.stateWords = len(a.tokens)/64 + 1
+			stateWords += a.stateWords
+			automata = append(automata, a)
+			for _, r := range a.tokens {
 				if r >= 0 {
-					letters = append(letters, r)
+					alphabet = append(alphabet, r)
 				}
 			}
 		}
 	}
-	slices.Sort(letters)
-	letters = slices.Compact(letters)
-	for fresh := 'x'; ; fresh++ {
-		if _, taken := slices.BinarySearch(letters, fresh); !taken {
-			letters = append(letters, fresh)
+	slices.Sort(alphabet)
+	alphabet = slices.Compact(alphabet)
+	for unused := 'x'; ; unused++ {
+		if _, used := slices.BinarySearch(alphabet, unused); !used {
+			alphabet = append(alphabet, unused)
 			break
 		}
 	}
-	if len(all) > 200 || len(letters) > 200 {
+	if len(automata) > 200 || len(alphabet) > 200 {
 		return "", false, false
 	}
-	key := func(state []uint64) string {
+	stateKey := func(state []uint64) string {
 		var b strings.Builder
 		for _, word := range state {
 			for ; word > 0; word >>= 7 {
@@ -300,59 +308,59 @@
 		}
 		return b.String()
 	}
-	// judge tells whether a state is in the set, and whether any text beyond it can be.
-	judge := func(state []uint64) (in, alive bool) {
-		in, n, at := true, 0, 0
-		for _, list := range t.any {
-			some, live := false, false
+	// evaluate reports whether the texts of a state are in the set, and whether a longer text may be.
+	evaluate := func(state []uint64) (inSet, viable bool) {
+		inSet, index, offset := true, 0, 0
+		for _, list := range t.included {
+			matched, listViable := false, false
 			for range list {
-				a := all[n]
-				some = some || a.accepts(state[at:at+a.size])
-				live = live || slices.ContainsFunc(state[at:at+a.size], func(w uint64) bool { return w != 0 })
-				n, at = n+1, at+a.size
+				a := automata[index]
+				matched = matched || a.accepts(state[offset:offset+a.stateWords])
+				listViable = listViable || slices.ContainsFunc(state[offset:offset+a.stateWords], func(w uint64) bool { return w != 0 })
+				index, offset = index+1, offset+a.stateWords
 			}
-			if in = in && some; !live {
+			if inSet = inSet && matched; !listViable {
 				return false, false
 			}
 		}
-		for range t.none {
-			a := all[n]
-			in = in && !a.accepts(state[at:at+a.size])
-			n, at = n+1, at+a.size
+		for range t.excluded {
+			a := automata[index]
+			inSet = inSet && !a.accepts(state[offset:offset+a.stateWords])
+			index, offset = index+1, offset+a.stateWords
 		}
-		return in, true
+		return inSet, true
 	}
 	type step struct {
 		state []uint64
 		text  string
 	}
-	first := make([]uint64, size)
-	at := 0
-	for _, a := range all {
-		a.add(first[at:at+a.size], 0)
-		at += a.size
+	start := make([]uint64, stateWords)
+	offset := 0
+	for _, a := range automata {
+		a.addToken(start[offset:offset+a.stateWords], 0)
+		offset += a.stateWords
 	}
-	seen := map[string]bool{key(first): true}
-	for queue := []step{{first, ""}}; len(queue) > 0; queue = queue[1:] {
-		in, alive := judge(queue[0].state)
-		if in {
+	visited := map[string]bool{stateKey(start): true}
+	for queue := []step{{start, ""}}; len(queue) > 0; queue = queue[1:] {
+		inSet, viable := evaluate(queue[0].state)
+		if inSet {
 			return queue[0].text, true, true
 		}
-		if !alive {
+		if !viable {
 			continue
 		}
-		for _, r := range letters {
-			next := make([]uint64, size)
-			at := 0
-			for _, a := range all {
-				a.step(queue[0].state[at:at+a.size], next[at:at+a.size], r)
-				at += a.size
+		for _, r := range alphabet {
+			next := make([]uint64, stateWords)
+			offset := 0
+			for _, a := range automata {
+				a.step(queue[0].state[offset:offset+a.stateWords], next[offset:offset+a.stateWords], r)
+				offset += a.stateWords
 			}
-			if k := key(next); !seen[k] {
-				if len(seen) >= mostStates {
+			if k := stateKey(next); !visited[k] {
+				if len(visited) >= maxStates {
 					return "", false, false
 				}
-				seen[k] = true
+				visited[k] = true
 				queue = append(queue, step{next, queue[0].text + string(r)})
 			}
 		}
