--- a/decide/route/compare.go
+++ b/decide/route/compare.go
@@ -34,8 +34,8 @@
 				continue
 			}
 			for _, b := range boxes {
-				for _, plan := range b.texts[f].included[0] {
-					text, _ := plan.Literal()
+				for _, pattern := range b.texts[f].included[0] {
+					text, _ := pattern.Literal()
 					if routes := fieldLists.byLiteral[text]; len(routes) == 0 || routes[len(routes)-1] != n {
 						fieldLists.byLiteral[text] = append(routes, n)
 					}
@@ -84,7 +84,7 @@
 // those for which the analysis reaches its bounds; for all others the result is exact.
 func (p *Plan) Unreached() (found []Unreached) {
 	index, table := newPlanIndex(p), NewTable(p, nil)
-	work := 0
+	comparisons := 0
 	for n, r := range p.Routes {
 		// For most routes, one of a few example jobs shows that the route is reached.
 		if index.tooWide[n] || slices.ContainsFunc(index.boxes[n], func(b box) bool {
@@ -98,10 +98,10 @@
 			_, nonEmpty, known := b.example()
 			return known && !nonEmpty
 		})
-		for at := 0; at < len(uncovered); at++ {
-			pieces := []box{uncovered[at]}
-			for _, m := range index.candidates(&uncovered[at]) {
-				if work += len(pieces); m >= n || len(pieces) == 0 || work > maxComparisons {
+		for i := 0; i < len(uncovered); i++ {
+			pieces := []box{uncovered[i]}
+			for _, m := range index.candidates(&uncovered[i]) {
+				if comparisons += len(pieces); m >= n || len(pieces) == 0 || comparisons > maxComparisons {
 					break
 				}
 				if index.tooWide[m] {
@@ -122,11 +122,11 @@
 				_, nonEmpty, known := b.example()
 				return nonEmpty || !known
 			})
-			if unknown || work > maxComparisons {
+			if unknown || comparisons > maxComparisons {
 				break
 			}
 		}
-		if unknown || work > maxComparisons {
+		if unknown || comparisons > maxComparisons {
 			continue
 		}
 		unreached := Unreached{Route: r}
@@ -145,16 +145,16 @@
 	Example  Job
 }
 
-// Differences returns the pairs of a route of this version and one of a later version between which jobs move, each with
-// an example. alike reports whether two routes treat jobs alike; such pairs are left out. complete is false if the
-// analysis reached its bounds, so that pairs may be missing.
-func (p *Plan) Differences(later *Plan, alike func(index, laterIndex *Route) bool) (moved []Moved, complete bool) {
+// Differences returns the pairs of a route of this version and one of a later version between which jobs move, each
+// with an example. alike reports whether two routes treat jobs alike; such pairs are left out. complete is false if
+// the analysis reached its bounds, so that pairs may be missing.
+func (p *Plan) Differences(later *Plan, alike func(a, b *Route) bool) (moved []Moved, complete bool) {
 	index, laterIndex := newPlanIndex(p), newPlanIndex(later)
 	complete = true
-	work := 0
+	comparisons := 0
 	var takenBy [][]box // for each route, the jobs that the routes before it leave to it
 	for n := range p.Routes {
-		taken, ok := index.effectiveBoxes(n, &work)
+		taken, ok := index.effectiveBoxes(n, &comparisons)
 		complete = complete && ok
 		takenBy = append(takenBy, taken)
 	}
@@ -189,7 +189,7 @@
 		for _, piece := range pieces {
 			remaining := []box{piece}
 			for _, m := range laterIndex.candidates(&piece) {
-				if work += len(remaining); work > maxComparisons {
+				if comparisons += len(remaining); comparisons > maxComparisons {
 					return moved, false
 				}
 				if laterIndex.tooWide[m] {
@@ -211,9 +211,9 @@
 	return moved, complete
 }
 
-// effectiveBoxes returns the jobs that route n takes: those of its match without those of the routes before it. complete
-// is false if the analysis reached its bounds.
-func (index *planIndex) effectiveBoxes(n int, work *int) (taken []box, complete bool) {
+// effectiveBoxes returns the jobs that route n takes: those of its match without those of the routes before it.
+// complete is false if the analysis reached its bounds.
+func (index *planIndex) effectiveBoxes(n int, comparisons *int) (taken []box, complete bool) {
 	if index.tooWide[n] {
 		return nil, false
 	}
@@ -223,7 +223,7 @@
 			if m >= n || len(pieces) == 0 {
 				break
 			}
-			if *work += len(pieces); index.tooWide[m] || len(pieces) > maxPieces || *work > maxComparisons {
+			if *comparisons += len(pieces); index.tooWide[m] || len(pieces) > maxPieces || *comparisons > maxComparisons {
 				return taken, false
 			}
 			pieces = subtractAll(pieces, index.boxes[m])
@@ -233,7 +233,7 @@
 	return taken, true
 }
 
-// subtractAll returns the jobs that are in a box of from but in no box of what.
+// subtractAll returns the jobs that are in a box of from but in no box of removed.
 func subtractAll(from, removed []box) []box {
 	for n := range removed {
 		if !slices.ContainsFunc(from, func(b box) bool { return !b.clearlyDisjoint(&removed[n]) }) {
--- a/decide/route/explain.go
+++ b/decide/route/explain.go
@@ -62,10 +62,10 @@
 }
 
 // Limits describes the limits and waits that a policy sets, one string each.
-func (p *Policy) Limits() (words []string) {
+func (p *Policy) Limits() (descriptions []string) {
 	add := func(set bool, format string, args ...any) {
 		if set {
-			words = append(words, fmt.Sprintf(format, args...))
+			descriptions = append(descriptions, fmt.Sprintf(format, args...))
 		}
 	}
 	add(p.MostOut > 0, "at most %d attempted", p.MostOut)
@@ -76,5 +76,5 @@
 	add(p.RepeatWindow > 0, "repeats within %v", p.RepeatWindow)
 	add(p.FallbackWait > 0, "fallback after %v", p.FallbackWait.Round(time.Millisecond))
 	add(p.EndWhenDown, "ended when no pool is usable")
-	return words
+	return descriptions
 }
--- a/decide/route/match.go
+++ b/decide/route/match.go
@@ -242,8 +242,8 @@
 			}
 			var next []box
 			for _, a := range result {
-				for _, current := range operandBoxes {
-					if common, nonEmpty := a.intersect(current); nonEmpty {
+				for _, operandBox := range operandBoxes {
+					if common, nonEmpty := a.intersect(operandBox); nonEmpty {
 						next = append(next, common)
 					}
 				}
@@ -254,25 +254,25 @@
 		}
 		return result, true
 	}
-	current := unrestrictedBox()
+	termBox := unrestrictedBox()
 	if m.Field.isText() {
 		if negated {
-			current.texts[m.Field].excluded = m.Texts
+			termBox.texts[m.Field].excluded = m.Texts
 		} else {
-			current.texts[m.Field].included = [][]Pattern{m.Texts}
+			termBox.texts[m.Field].included = [][]Pattern{m.Texts}
 		}
-		current.texts[m.Field] = current.texts[m.Field].simplify()
+		termBox.texts[m.Field] = termBox.texts[m.Field].simplify()
 	} else {
 		ranges := normalizeRanges(m.Ranges)
 		if negated {
 			ranges = complementRanges(ranges)
 		}
-		current.numbers[m.Field-Tables] = intersectRanges(current.numbers[m.Field-Tables], ranges)
+		termBox.numbers[m.Field-Tables] = intersectRanges(termBox.numbers[m.Field-Tables], ranges)
 	}
-	if _, nonEmpty := current.intersect(unrestrictedBox()); !nonEmpty {
+	if _, nonEmpty := termBox.intersect(unrestrictedBox()); !nonEmpty {
 		return nil, true
 	}
-	return []box{current}, true
+	return []box{termBox}, true
 }
 
 // TooWide reports whether a match expands to more than 256 combinations, which the operators' file may not have.
@@ -317,7 +317,8 @@
 func (b *box) clearlyDisjoint(other *box) bool {
 	for f := range b.numbers {
 		ranges, otherRanges := b.numbers[f], other.numbers[f]
-		if len(ranges) == 0 || len(otherRanges) == 0 || ranges[0].From > otherRanges[len(otherRanges)-1].To || otherRanges[0].From > ranges[len(ranges)-1].To {
+		if len(ranges) == 0 || len(otherRanges) == 0 || ranges[0].From > otherRanges[len(otherRanges)-1].To ||
+			otherRanges[0].From > ranges[len(ranges)-1].To {
 			return true
 		}
 	}
@@ -329,7 +330,7 @@
 	return false
 }
 
-// subtract returns the jobs of b that are not in o, as boxes.
+// subtract returns the jobs of b that are not in the other box, as boxes.
 func (b box) subtract(other box) []box {
 	if b.clearlyDisjoint(&other) {
 		return []box{b}
@@ -428,7 +429,8 @@
 			if len(patterns) == 0 {
 				return false
 			}
-			if values[f] = patterns[(variant+f)%len(patterns)].sample([...]string{"x", "q7-", ""}[variant%3]); !set.contains(values[f]) {
+			if values[f] = patterns[(variant+f)%len(patterns)].sample(
+				[...]string{"x", "q7-", ""}[variant%3]); !set.contains(values[f]) {
 				break
 			}
 		}
@@ -493,7 +495,9 @@
 
 func sortedCopy(ranges []Range) []Range {
 	ranges = slices.Clone(ranges)
-	slices.SortFunc(ranges, func(a, b Range) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To)) })
+	slices.SortFunc(ranges, func(a, b Range) int {
+		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
+	})
 	return ranges
 }
 
--- a/decide/route/match_test.go
+++ b/decide/route/match_test.go
@@ -9,14 +9,14 @@
 )
 
 // matchRecursively is a simple reference implementation of Pattern.Matches.
-func matchRecursively(parts []rune, text []rune) bool {
-	if len(parts) == 0 {
+func matchRecursively(tokens []rune, text []rune) bool {
+	if len(tokens) == 0 {
 		return len(text) == 0
 	}
-	if parts[0] == anySequence {
-		return matchRecursively(parts[1:], text) || len(text) > 0 && matchRecursively(parts, text[1:])
+	if tokens[0] == anySequence {
+		return matchRecursively(tokens[1:], text) || len(text) > 0 && matchRecursively(tokens, text[1:])
 	}
-	return len(text) > 0 && (parts[0] == anyCharacter || parts[0] == text[0]) && matchRecursively(parts[1:], text[1:])
+	return len(text) > 0 && (tokens[0] == anyCharacter || tokens[0] == text[0]) && matchRecursively(tokens[1:], text[1:])
 }
 
 // TestPatterns checks the methods of a pattern against the reference implementation and against each other.
@@ -30,7 +30,8 @@
 		if !Escape(text).Matches(text) {
 			t.Fatalf("Escape(%q) does not match its own text", text)
 		}
-		if literal, isLiteral := p.Literal(); isLiteral && (!p.Matches(literal) || Escape(literal).Matches(text) != p.Matches(text)) {
+		if literal, isLiteral := p.Literal(); isLiteral &&
+			(!p.Matches(literal) || Escape(literal).Matches(text) != p.Matches(text)) {
 			t.Fatalf("%q does not match exactly its literal %q", p, literal)
 		}
 		if p.Matches(text) && !strings.HasPrefix(text, p.literalPrefix()) {
@@ -62,11 +63,13 @@
 		for range 20 {
 			j := randomJob(t)
 			contains := func(list []box) bool {
-				return slices.ContainsFunc(list, func(boxesB box) bool { return boxesB.contains(&j) })
+				return slices.ContainsFunc(list, func(b box) bool { return b.contains(&j) })
 			}
 			inA, inB := m.Matches(&j), o.Matches(&j)
-			if contains(boxesA) != inA || contains(negation) == inA || contains(difference) != (inA && !inB) || contains(common) != (inA && inB) {
-				t.Fatalf("%+v: matches a %v, b %v; in boxes of a %v, not a %v, a without b %v, a and b %v", j, inA, inB, contains(boxesA), contains(negation), contains(difference), contains(common))
+			if contains(boxesA) != inA || contains(negation) == inA || contains(difference) != (inA && !inB) ||
+				contains(common) != (inA && inB) {
+				t.Fatalf("%+v: matches a %v, b %v; in boxes of a %v, not a %v, a without b %v, a and b %v", j, inA, inB,
+					contains(boxesA), contains(negation), contains(difference), contains(common))
 			}
 			if (m.Mismatch(&j) == "") != inA {
 				t.Fatalf("%+v: the reported mismatch %q contradicts Matches", j, m.Mismatch(&j))
--- a/decide/route/meter.go
+++ b/decide/route/meter.go
@@ -16,7 +16,7 @@
 	lastDeparture      time.Duration // when a job last left the held ones
 	meanInterval       float64       // moving average of the time between two departures, in nanoseconds
 	samples            float64       // number of intervals in the average, at most 10
-	rateReservedUntil  time.Duration // end of the time whose tokens are reserved for refused jobs that will be submitted again
+	rateReservedUntil  time.Duration // until when tokens are reserved for refused jobs, which may be submitted again
 	placeReservedUntil time.Duration // the same for places among the held jobs
 	buckets            [budgetBuckets]budgetBucket
 	Counts             Counts
@@ -107,14 +107,14 @@
 	jobs, retries int
 }
 
-// bucket returns the bucket of the current time, and resets it if it was last used for an earlier window.
+// bucket returns the bucket of the current time. It resets the bucket if it was last used for an earlier time.
 func (m *meter) bucket(now time.Duration, p *Policy) *budgetBucket {
-	number := int64(now / max(p.FurtherSpan/(budgetBuckets-1), 1))
-	s := &m.buckets[number%budgetBuckets]
-	if s.index != number {
-		*s = budgetBucket{index: number}
+	index := int64(now / max(p.FurtherSpan/(budgetBuckets-1), 1))
+	current := &m.buckets[index%budgetBuckets]
+	if current.index != index {
+		*current = budgetBucket{index: index}
 	}
-	return s
+	return current
 }
 
 // retryAllowed reports whether the retry budget of the route allows one more retry.
@@ -123,14 +123,14 @@
 		return true
 	}
 	newest := m.bucket(now, p).index
-	taken, further := 0, 0
-	for _, s := range m.buckets {
-		if s.index > newest-budgetBuckets {
-			further += s.retries
-			if s.index > newest-budgetBuckets+1 {
-				taken += s.jobs
+	jobs, retries := 0, 0
+	for _, bucket := range m.buckets {
+		if bucket.index > newest-budgetBuckets {
+			retries += bucket.retries
+			if bucket.index > newest-budgetBuckets+1 {
+				jobs += bucket.jobs
 			}
 		}
 	}
-	return float64(further+1) <= float64(p.FurtherFree)+p.FurtherShare*float64(taken)
+	return float64(retries+1) <= float64(p.FurtherFree)+p.FurtherShare*float64(jobs)
 }
--- a/decide/route/plan.go
+++ b/decide/route/plan.go
@@ -74,7 +74,7 @@
 	FurtherFree  int           // retries allowed in addition to the share
 	FurtherSpan  time.Duration // sliding window of the retry budget
 	FurtherWait  time.Duration // delay from the end of an attempt to a retry
-	RepeatWindow time.Duration // time since its first attempt in which a job that may have run may be retried; 0: the class's
+	RepeatWindow time.Duration // how long after its first attempt a job that may have run may be retried; 0: the class's
 	FallbackWait time.Duration // time that a pool must be below its minimum before its fallback is used
 	ReturnWait   time.Duration // time that a pool must be healthy again before it is used again
 	ReturnOver   time.Duration // time in which its share of new jobs then grows from none to all (slow start)
--- a/decide/route/pool.go
+++ b/decide/route/pool.go
@@ -19,10 +19,10 @@
 	members                 map[EngineID]*engine // members that are available
 	usableCount             int                  // number of members that are not suspected
 	removed                 bool                 // the newest version has no pool of this name
-	currentMax, previousMax int                  // maximum number of members in the current and the previous size window
-	windowStart             time.Duration        // start of the current size window
+	currentMax, previousMax int                  // maximum number of members in the current and the previous window
+	windowStart             time.Duration        // start of the current window; see sizeWindow
 	routes                  []*routeState        // routes that use the pool
-	nextTrialAt             time.Duration        // earliest time of the next trial of a suspected engine; see trialInterval
+	nextTrialAt             time.Duration        // earliest time of the next trial; see trialInterval
 }
 
 // sizeWindow is the length of the windows over which the size of a pool is tracked. Without a configured size, a pool
@@ -31,7 +31,8 @@
 // taken to have been removed on purpose.
 const sizeWindow = 5 * time.Minute
 
-// expectedSize returns the configured number of engines, or else the maximum number of members in the last two size windows.
+// expectedSize returns the configured number of engines, or else the maximum number of members in the current and the
+// previous window. It also starts a new window when it is due.
 func (p *poolState) expectedSize(now time.Duration) int {
 	if p.Size > 0 {
 		return p.Size
--- a/decide/route/random_test.go
+++ b/decide/route/random_test.go
@@ -61,7 +61,8 @@
 func randomJob(t *rapid.T) Job {
 	return Job{Type: textGen.Draw(t, "type"), Customer: textGen.Draw(t, "customer"),
 		Front: textGen.Draw(t, "front"), Tables: numberGen.Draw(t, "tables"),
-		Cost: time.Duration(numberGen.Draw(t, "cost")), Memory: numberGen.Draw(t, "memory"), Left: time.Duration(max(numberGen.Draw(t, "left"), 0))}
+		Cost: time.Duration(numberGen.Draw(t, "cost")), Memory: numberGen.Draw(t, "memory"),
+		Left: time.Duration(max(numberGen.Draw(t, "left"), 0))}
 }
 
 func randomPlan(t *rapid.T, maxRoutes int) *Plan {
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -99,7 +99,8 @@
 // on an engine, or 0 if there was none; sinceLast is the time since its last attempt ended.
 func (l *Lane) Further(now, sinceFirst, sinceLast time.Duration) bool {
 	policy := &l.route.Policy
-	return sinceLast >= policy.FurtherWait && (policy.RepeatWindow == 0 || sinceFirst <= policy.RepeatWindow) && l.route.meter.retryAllowed(now, policy)
+	return sinceLast >= policy.FurtherWait && (policy.RepeatWindow == 0 || sinceFirst <= policy.RepeatWindow) &&
+		l.route.meter.retryAllowed(now, policy)
 }
 
 // Names returns the names of the lane's route, its pool and its extra pool, for logs. A missing pool has an empty name.
@@ -169,7 +170,8 @@
 	r.now = now
 	r.lastVersion++
 	r.versions = append(r.versions, &version{number: r.lastVersion, plan: plan, table: table,
-		routes: map[RouteName]*routeState{}, pools: map[PoolName]*poolState{}, laneSets: map[[2]*poolState]*[2]*poolState{}})
+		routes: map[RouteName]*routeState{}, pools: map[PoolName]*poolState{},
+		laneSets: map[[2]*poolState]*[2]*poolState{}})
 	for _, p := range plan.Pools {
 		r.ensurePool(r.newestVersion(), p)
 	}
@@ -180,7 +182,8 @@
 	for _, v := range r.versions {
 		for _, rs := range v.routeOrder {
 			for j := rs.firstJob; j != nil; j = j.next {
-				if l := j.lane; j.inFlight && l.primary != nil && l.primary.pool.removed && (l.extra == nil || l.extra.pool.removed) {
+				if l := j.lane; j.inFlight && l.primary != nil && l.primary.pool.removed &&
+					(l.extra == nil || l.extra.pool.removed) {
 					r.host.TakeBack(j.id)
 				}
 			}
@@ -194,8 +197,8 @@
 	newest := r.newestVersion()
 	r.versions = slices.DeleteFunc(r.versions, func(v *version) bool { return v != newest && v.openJobs == 0 })
 	for name, m := range r.meters {
-		known := slices.ContainsFunc(r.versions, func(v *version) bool { return v.table.routes[name] != nil })
-		if !known && m.openJobs == 0 {
+		inAnyVersion := slices.ContainsFunc(r.versions, func(v *version) bool { return v.table.routes[name] != nil })
+		if !inAnyVersion && m.openJobs == 0 {
 			delete(r.meters, name)
 		}
 	}
@@ -230,7 +233,9 @@
 		}
 		e = &engine{}
 		r.engines[properties.ID] = e
-		index, _ := slices.BinarySearchFunc(r.sortedEngines, properties.ID, func(e *engine, id EngineID) int { return cmp.Compare(e.ID, id) })
+		index, _ := slices.BinarySearchFunc(r.sortedEngines, properties.ID, func(e *engine, id EngineID) int {
+			return cmp.Compare(e.ID, id)
+		})
 		r.sortedEngines = slices.Insert(r.sortedEngines, index, e)
 	}
 	e.Engine, e.available = properties, available
@@ -367,8 +372,8 @@
 	return r.extraPoolUse(rs, p)
 }
 
-// extraPoolUse returns a pool for use as the extra pool of a route's lanes, the same one as in an existing lane if there
-// is one. Its status is not used.
+// extraPoolUse returns a pool for use as the extra pool of a route's lanes, the same one as in an existing lane if
+// there is one. Its status is not used.
 func (r *Router) extraPoolUse(rs *routeState, p *Pool) *poolUse {
 	for _, lane := range rs.lanes {
 		if lane.extra != nil && lane.extra.pool.Name == p.Name {
@@ -378,6 +383,7 @@
 	return &poolUse{pool: r.ensurePool(rs.version, p)}
 }
 
+// ensurePool returns the state of a pool of a version, and creates it if there is none yet.
 func (r *Router) ensurePool(v *version, p *Pool) *poolState {
 	state := v.pools[p.Name]
 	if state == nil {
@@ -428,8 +434,8 @@
 // nil.
 func (r *Router) previousUse(rs *routeState, position int, name PoolName) *poolUse {
 	for i := len(r.versions) - 2; i >= 0; i-- {
-		if earlier := r.versions[i].routes[rs.Name]; earlier != nil && position < len(earlier.poolUses) && earlier.poolUses[position].pool.Name == name &&
-			!earlier.poolUses[position].pool.removed {
+		if earlier := r.versions[i].routes[rs.Name]; earlier != nil && position < len(earlier.poolUses) &&
+			earlier.poolUses[position].pool.Name == name && !earlier.poolUses[position].pool.removed {
 			return earlier.poolUses[position]
 		}
 	}
@@ -438,15 +444,15 @@
 
 // laneFor returns the lane of a route with these pools. There is one Lane per route and pools, so that lanes can be
 // compared by their pointers.
-func (r *Router) laneFor(rs *routeState, main, extra *poolUse) *Lane {
+func (r *Router) laneFor(rs *routeState, primary, extra *poolUse) *Lane {
 	for _, l := range rs.lanes {
-		if l.primary == main && l.extra == extra {
+		if l.primary == primary && l.extra == extra {
 			return l
 		}
 	}
-	l := &Lane{route: rs, primary: main, extra: extra}
-	if main != nil {
-		pools := [2]*poolState{main.pool}
+	l := &Lane{route: rs, primary: primary, extra: extra}
+	if primary != nil {
+		pools := [2]*poolState{primary.pool}
 		if extra != nil {
 			pools[1] = extra.pool
 		}
@@ -465,8 +471,8 @@
 const trialInterval = 500 * time.Millisecond
 
 // chooseLane returns the lane for a job: that of the first pool in use, where a pool that is ramping up takes a growing
-// share of the jobs; else of the pool with the largest share of usable engines; else of the first pool that is left, to
-// wait there. rejected is true if all pools were removed, or if no pool has a usable engine and the policy
+// share of the jobs; else of the pool with the largest share of usable engines; else of the first pool that was not
+// removed, to wait there. rejected is true if all pools were removed, or if no pool has a usable engine and the policy
 // ends such jobs.
 func (r *Router) chooseLane(rs *routeState) (lane *Lane, rejected bool) {
 	if len(rs.poolUses) == 0 {
@@ -493,7 +499,8 @@
 	bestShare, anyLeft := 0.0, false
 	for _, use := range rs.poolUses {
 		anyLeft = anyLeft || !use.pool.removed
-		if share := float64(use.pool.usableCount) / float64(max(use.pool.expectedSize(r.now), 1)); !use.pool.removed && share > bestShare {
+		if share := float64(use.pool.usableCount) / float64(max(use.pool.expectedSize(r.now), 1)); !use.pool.removed &&
+			share > bestShare {
 			best, bestShare = use, share
 		}
 	}
@@ -564,7 +571,9 @@
 		return
 	}
 	pending := pendingOverflow{r.now + j.lane.primary.pool.OverflowAfter, j.id, j.attempts}
-	at, _ := slices.BinarySearchFunc(r.pendingOverflows, pending.dueAt+1, func(o pendingOverflow, at time.Duration) int { return cmp.Compare(o.dueAt, at) })
+	at, _ := slices.BinarySearchFunc(r.pendingOverflows, pending.dueAt+1, func(o pendingOverflow, at time.Duration) int {
+		return cmp.Compare(o.dueAt, at)
+	})
 	r.pendingOverflows = slices.Insert(r.pendingOverflows, at, pending)
 }
 
@@ -608,9 +617,11 @@
 	if j.inFlight || primary == nil || primary.status != down && primary.status != failbackPending {
 		return
 	}
-	anyInUse := slices.ContainsFunc(j.route.poolUses, func(use *poolUse) bool { return use.jobShare(r.now, &j.route.Policy) > 0 })
+	anyInUse := slices.ContainsFunc(j.route.poolUses, func(use *poolUse) bool {
+		return use.jobShare(r.now, &j.route.Policy) > 0
+	})
 	if !anyInUse && !primary.pool.removed && primary.pool.usableCount > 0 {
-		return // no pool is in use, and the job's pool still has a usable engine
+		return // no pool is in use, and the job's pool, which has a usable engine, is as good a last resort as any other
 	}
 	lane, rejected := r.chooseLane(j.route)
 	if rejected && !j.givenUp {
--- a/decide/route/router_test.go
+++ b/decide/route/router_test.go
@@ -47,14 +47,14 @@
 	if l == nil {
 		return "anywhere"
 	}
-	_, main, extra := l.Names()
+	_, primary, extra := l.Names()
 	if extra != "" {
-		return fmt.Sprintf("%s and %s", main, extra)
+		return fmt.Sprintf("%s and %s", primary, extra)
 	}
-	if main == "" {
+	if primary == "" {
 		return "any engine"
 	}
-	return string(main)
+	return string(primary)
 }
 
 func (h *fakeHost) Admit(j JobID, l *Lane) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// list adds or removes engines of the list. The location of an engine is the first letter of its id.
+// listEngines adds or removes engines of the list. The location of an engine is the first letter of its id.
 func (h *fakeHost) listEngines(available bool, ids ...EngineID) {
 	for _, id := range ids {
 		h.router.EngineSeen(h.now, Engine{ID: id, Location: string(id[:1]), Kind: "k"}, available)
@@ -99,7 +99,7 @@
 	}
 }
 
-// take submits jobs. The type of a job is its id without the digits at the end.
+// submitJobs submits jobs. The type of a job is its id without the digits at the end.
 func (h *fakeHost) submitJobs(ids ...JobID) {
 	for _, id := range ids {
 		h.router.JobTaken(h.now, id, &Job{Type: strings.TrimRight(string(id), "0123456789"), Tables: Untold, Cost: Untold,
@@ -167,8 +167,8 @@
 
 func minHalf(p *Pool) { p.MinShare = 0.5 }
 
-// TestFallback checks that the fallback is used only after the pool has been below its minimum for FallbackWait, that the
-// pool is used again only after it has been healthy for ReturnWait, and that its share of new jobs then grows.
+// TestFallback checks that the fallback is used only after the pool has been below its minimum for FallbackWait, that
+// the pool is used again only after it has been healthy for ReturnWait, and that its share of new jobs then grows.
 func TestFallback(t *testing.T) {
 	h := newFakeHost(planWith(func(p *Policy) {
 		p.FallbackWait, p.ReturnWait, p.ReturnOver = 100*msec, 300*msec, 200*msec
@@ -231,8 +231,8 @@
 	h.compareTrace(t)
 }
 
-// TestLimits checks that jobs over a limit are refused with the time at which there is room again, and that each refused
-// job gets a different time.
+// TestLimits checks that jobs over a limit are refused with the time at which there is room again, and that each
+// refused job gets a different time.
 func TestLimits(t *testing.T) {
 	plan := planWith(func(p *Policy) { p.Rate, p.Burst, p.MostOut = 10, 2, 1 })
 	held := &Route{Name: "h", Match: &Match{Op: In, Field: Type, Texts: []Pattern{"h"}}, Policy: NewPolicy("h")}
@@ -267,8 +267,10 @@
 	for n := range 10 {
 		h.submitJobs(JobID(fmt.Sprint("j", n)))
 	}
-	l := h.lanes["j0"]
-	trace := func(what string, first, over time.Duration) { h.tracef("%s: %v", what, l.Further(h.now, first, over)) }
+	lane := h.lanes["j0"]
+	trace := func(label string, sinceFirst, sinceLast time.Duration) {
+		h.tracef("%s: %v", label, lane.Further(h.now, sinceFirst, sinceLast))
+	}
 	h.startAttempts("j0")
 	h.endAttempts("j0")
 	trace("at once", 0, 10*msec)
@@ -289,8 +291,8 @@
 	h.compareTrace(t)
 }
 
-// TestOverflow checks that a job may use the overflow pool after it was held for OverflowAfter, and that this time starts
-// again when the job is held again after an attempt.
+// TestOverflow checks that a job may use the overflow pool after it was held for OverflowAfter, and that this time
+// starts again when the job is held again after an attempt.
 func TestOverflow(t *testing.T) {
 	plan := planWith(nil, poolAt("a", "a", func(p *Pool) { p.Overflow, p.OverflowAfter = "b", 100*msec }))
 	plan.Pools = append(plan.Pools, poolAt("b", "b", nil))
@@ -340,8 +342,8 @@
 	h.compareTrace(t)
 }
 
-// TestPromises drives a Router with random events and checks its invariants after each: the version and the lane of each
-// open job, the engines that it may be sent to, and the counts.
+// TestPromises drives a Router with random events and checks its invariants after each: the version and the lane of
+// each open job, the engines that it may be sent to, and the counts.
 func TestPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newFakeHost(nil)
@@ -352,8 +354,8 @@
 		adopt := func(t *rapid.T) {
 			locations := rapid.Permutation([]Pattern{"a", "b", "c"}).Draw(t, "order")
 			var pools []*Pool
-			for _, l := range locations[:rapid.IntRange(0, 3).Draw(t, "pools")] {
-				pools = append(pools, poolAt(PoolName(l), l, func(p *Pool) {
+			for _, use := range locations[:rapid.IntRange(0, 3).Draw(t, "pools")] {
+				pools = append(pools, poolAt(PoolName(use), use, func(p *Pool) {
 					p.MinShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "minimum")
 					if rapid.Bool().Draw(t, "ids") {
 						p.Any[0][0].IDs = []Pattern{"*1", "*2"}
@@ -441,12 +443,12 @@
 					}
 				}
 				versions := map[int]bool{adopted: true}
-				held, sent := 0, 0
+				held, attempts := 0, 0
 				newest := h.router.newestVersion()
 				for j, version := range open {
 					versions[version] = true
 					if inFlight[j] {
-						sent++
+						attempts++
 					} else {
 						held++
 					}
@@ -458,16 +460,17 @@
 						if !lane.Allows(e) || lane.primary == nil {
 							continue
 						}
-						isMember := func(l *poolUse) bool {
-							if l == nil || l.pool.version.number != version {
+						isMember := func(use *poolUse) bool {
+							if use == nil || use.pool.version.number != version {
 								return false
 							}
-							later := newest.plan.Pool(l.pool.Name)
+							later := newest.plan.Pool(use.pool.Name)
 							engine := &Engine{ID: e, Location: string(e[:1]), Kind: "k"}
-							return later != nil && later.Contains(engine) && l.pool.Contains(engine)
+							return later != nil && later.Contains(engine) && use.pool.Contains(engine)
 						}
 						if !available[e] || !isMember(lane.primary) && !isMember(lane.extra) {
-							t.Fatalf("%s may be sent to %s, which is not available (%v) or not in its pools", j, e, available[e])
+							t.Fatalf("%s may be sent to %s (available: %v), which is not an available member of its pools",
+								j, e, available[e])
 						}
 					}
 					if inFlight[j] || lane.primary == nil {
@@ -476,17 +479,22 @@
 					if lane.primary.pool.removed {
 						t.Fatalf("%s is held for pool %s, which was removed", j, lane.primary.pool.Name)
 					}
-					better := slices.ContainsFunc(lane.route.poolUses, func(l *poolUse) bool { return l.pool.usableCount > 0 })
-					if s := lane.primary.status; better && (s == down || s == failbackPending) && lane.primary.pool.usableCount == 0 {
-						t.Fatalf("%s is held for pool %s, which is %s, while another pool has usable engines", j, lane.primary.pool.Name, s)
+					anyUsable := slices.ContainsFunc(lane.route.poolUses, func(use *poolUse) bool {
+						return use.pool.usableCount > 0
+					})
+					if s := lane.primary.status; anyUsable && (s == down || s == failbackPending) &&
+						lane.primary.pool.usableCount == 0 {
+						t.Fatalf("%s is held for pool %s, which is %s, while another pool has usable engines", j,
+							lane.primary.pool.Name, s)
 					}
 				}
-				kept, known := h.router.Versions()
-				if kept != len(versions) || known != len(open) {
-					t.Fatalf("%d versions kept, want %v; %d open jobs, want %d", kept, versions, known, len(open))
+				kept, openCount := h.router.Versions()
+				if kept != len(versions) || openCount != len(open) {
+					t.Fatalf("%d versions kept, want %v; %d open jobs, want %d", kept, versions, openCount, len(open))
 				}
-				if m := h.router.meters["r"]; m != nil && (m.inFlight != sent || m.openJobs != held+sent) {
-					t.Fatalf("%d attempts of %d jobs, but the meter has %d and %d", sent, held+sent, m.inFlight, m.openJobs)
+				if m := h.router.meters["r"]; m != nil && (m.inFlight != attempts || m.openJobs != held+attempts) {
+					t.Fatalf("%d attempts of %d jobs, but the meter has %d and %d", attempts, held+attempts, m.inFlight,
+						m.openJobs)
 				}
 			},
 		})
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -13,9 +13,9 @@
 )
 
 // Table is an index that finds the route of a job without trying all routes. Boxes of routes that can be found by the
-// same fields are in one decision tree, which splits them by one field at a time: texts by the longest literal prefix of
-// any pattern, in a radix tree, and numbers by intervals. Subtrees that do not change from one version of the plan to
-// the next are shared in memory.
+// same fields are in one decision tree, which splits them by one field at a time: texts by the longest literal prefix
+// of any pattern, in a radix tree, and numbers by intervals. Subtrees that do not change from one version of the plan
+// to the next are shared in memory.
 type Table struct {
 	groups      []group            // sorted by firstRank
 	nodesByHash map[uint64][]*node // all nodes by the hash of their contents, for sharing with the next version
@@ -55,8 +55,8 @@
 	otherRanges   []Range // the other ranges
 }
 
-func newEntry(r *Route, b *box, place uint64) *entry {
-	e := &entry{route: r, box: b, rank: place}
+func newEntry(r *Route, b *box, rank uint64) *entry {
+	e := &entry{route: r, box: b, rank: rank}
 	if b == nil {
 		return e
 	}
@@ -65,10 +65,11 @@
 		if set.onlyLiterals {
 			var literals []string
 			for _, pattern := range set.included[0] {
-				word, _ := pattern.Literal()
-				literals = append(literals, word)
+				literal, _ := pattern.Literal()
+				literals = append(literals, literal)
 			}
-			e.conditions = append(e.conditions, condition{field: Field(f), exact: true, literal: literals[0], otherLiterals: literals[1:]})
+			e.conditions = append(e.conditions,
+				condition{field: Field(f), exact: true, literal: literals[0], otherLiterals: literals[1:]})
 		} else if len(set.included) > 0 || len(set.excluded) > 0 {
 			e.conditions = append(e.conditions, condition{field: Field(f), set: set})
 		}
@@ -79,7 +80,8 @@
 	for f, r := range b.numbers {
 		if field := Tables + Field(f); len(r) != 1 || r[0] != unrestricted.numbers[f][0] {
 			e.fieldMask |= 1 << field
-			e.conditions = append(e.conditions, condition{field: field, from: r[0].From, to: r[0].To, otherRanges: r[1:]})
+			e.conditions = append(e.conditions,
+				condition{field: field, from: r[0].From, to: r[0].To, otherRanges: r[1:]})
 		}
 	}
 	return e
@@ -103,7 +105,8 @@
 				return false
 			}
 		default:
-			if number := j.number(cond.field); (number < cond.from || number > cond.to) && !inAnyRange(cond.otherRanges, number) {
+			if number := j.number(cond.field); (number < cond.from || number > cond.to) &&
+				!inAnyRange(cond.otherRanges, number) {
 				return false
 			}
 		}
@@ -111,7 +114,8 @@
 	return true
 }
 
-// node is a node of a decision tree: a leaf with a list of entries, or an inner node that splits its entries by a field.
+// node is a node of a decision tree: a leaf with a list of entries, or an inner node that splits its entries by a
+// field.
 type node struct {
 	field Field
 	// Children for a text field: byLiteral has those for the texts of literals, in a map because each step down a radix
@@ -195,7 +199,9 @@
 	predecessor := make([]int, len(list))
 	var tails []int // for each length, the position that ends a subsequence with the lowest last value
 	for n, element := range list {
-		length, _ := slices.BinarySearchFunc(tails, value(element), func(m int, target V) int { return cmp.Compare(value(list[m]), target) })
+		length, _ := slices.BinarySearchFunc(tails, value(element), func(m int, target V) int {
+			return cmp.Compare(value(list[m]), target)
+		})
 		if predecessor[n] = -1; length > 0 {
 			predecessor[n] = tails[length-1]
 		}
@@ -243,7 +249,8 @@
 
 // equal reports whether two routes have the same name, match, pools and policy.
 func (r *Route) equal(other *Route) bool {
-	if r.Name != other.Name || r.Policy != other.Policy || len(r.Pools) != len(other.Pools) || !r.Match.equal(other.Match) {
+	if r.Name != other.Name || r.Policy != other.Policy || len(r.Pools) != len(other.Pools) ||
+		!r.Match.equal(other.Match) {
 		return false
 	}
 	for n, p := range r.Pools {
@@ -258,16 +265,16 @@
 	if m == nil || other == nil {
 		return m == other
 	}
-	return m.Op == other.Op && m.Field == other.Field && slices.Equal(m.Texts, other.Texts) && slices.Equal(m.Ranges, other.Ranges) &&
-		slices.EqualFunc(m.Of, other.Of, (*Match).equal)
+	return m.Op == other.Op && m.Field == other.Field && slices.Equal(m.Texts, other.Texts) &&
+		slices.Equal(m.Ranges, other.Ranges) && slices.EqualFunc(m.Of, other.Of, (*Match).equal)
 }
 
 func (p *Pool) equal(other *Pool) bool {
 	sameMembers := func(a, b Members) bool {
 		return slices.Equal(a.IDs, b.IDs) && slices.Equal(a.Locations, b.Locations) && slices.Equal(a.Kinds, b.Kinds)
 	}
-	return p == other || p.Name == other.Name && p.MinCount == other.MinCount && p.MinShare == other.MinShare && p.Size == other.Size &&
-		p.Overflow == other.Overflow && p.OverflowAfter == other.OverflowAfter &&
+	return p == other || p.Name == other.Name && p.MinCount == other.MinCount && p.MinShare == other.MinShare &&
+		p.Size == other.Size && p.Overflow == other.Overflow && p.OverflowAfter == other.OverflowAfter &&
 		slices.EqualFunc(p.Any, other.Any, func(a, b []Members) bool { return slices.EqualFunc(a, b, sameMembers) })
 }
 
@@ -326,7 +333,7 @@
 func (t *Table) split(n *node, previous *Table) bool {
 	bestField, smallest := -1, len(n.allEntries)
 	var byPrefix, byLiteral map[string][]*entry
-	var cuts []int64
+	var bounds []int64
 	var children [][]*entry
 	for f := range fieldCount {
 		if n.usedFields&(1<<f) != 0 {
@@ -338,13 +345,13 @@
 					bestField, smallest, byLiteral, byPrefix = int(f), largest, literals, prefixes
 				}
 			}
-		} else if c, k := splitByNumber(n.allEntries, f); k != nil {
+		} else if fieldBounds, fieldChildren := splitByNumber(n.allEntries, f); fieldChildren != nil {
 			largest := 0
-			for _, child := range k {
+			for _, child := range fieldChildren {
 				largest = max(largest, len(child))
 			}
 			if largest < smallest {
-				bestField, smallest, cuts, children = int(f), largest, c, k
+				bestField, smallest, bounds, children = int(f), largest, fieldBounds, fieldChildren
 			}
 		}
 	}
@@ -354,7 +361,7 @@
 	n.field = Field(bestField)
 	used := n.usedFields | 1<<bestField
 	if !n.field.isText() {
-		n.bounds = cuts
+		n.bounds = bounds
 		for _, child := range children {
 			n.children = append(n.children, t.build(child, used, previous))
 		}
@@ -404,9 +411,9 @@
 // distinguish the entries, or if there would be too many copies of them.
 func splitByText(entries []*entry, field Field) (literals, prefixes map[string][]*entry) {
 	literals, prefixes = map[string][]*entry{}, map[string][]*entry{"": nil}
-	add := func(parts map[string][]*entry, key string, e *entry) {
-		if existing := parts[key]; len(existing) == 0 || existing[len(existing)-1] != e {
-			parts[key] = append(existing, e)
+	add := func(lists map[string][]*entry, key string, e *entry) {
+		if existing := lists[key]; len(existing) == 0 || existing[len(existing)-1] != e {
+			lists[key] = append(existing, e)
 		}
 	}
 	for _, e := range entries {
@@ -468,8 +475,8 @@
 }
 
 // splitByNumber returns the intervals between the numbers where a range of some box begins or ends, each by its lower
-// bound, and the entries that a number of the interval may match. If there would be too many copies of entries, it drops
-// every second bound until there are not.
+// bound, and the entries that a number of the interval may match. If there would be too many copies of entries, it
+// drops every second bound until there are not.
 func splitByNumber(entries []*entry, field Field) (bounds []int64, children [][]*entry) {
 	for _, e := range entries {
 		if e.box == nil {
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -51,14 +51,15 @@
 		moved, complete := plan.Differences(later, alike)
 		for _, m := range moved {
 			if from, to := plan.Walk(&m.Example), later.Walk(&m.Example); from != m.From || to != m.To {
-				t.Fatalf("example %+v moves from %s to %s, but is reported from %s to %s", m.Example, routeName(from), routeName(to), routeName(m.From),
-					routeName(m.To))
+				t.Fatalf("example %+v moves from %s to %s, but is reported from %s to %s", m.Example, routeName(from),
+					routeName(to), routeName(m.From), routeName(m.To))
 			}
 		}
 		for range 50 {
 			j := randomJob(t)
 			from, to := plan.Walk(&j), later.Walk(&j)
-			if complete && !alike(from, to) && !slices.ContainsFunc(moved, func(m Moved) bool { return m.From == from && m.To == to }) {
+			if complete && !alike(from, to) &&
+				!slices.ContainsFunc(moved, func(m Moved) bool { return m.From == from && m.To == to }) {
 				t.Fatalf("%+v moves from %s to %s, which is not reported", j, routeName(from), routeName(to))
 			}
 		}
@@ -128,7 +129,8 @@
 			m = &Match{Op: And, Of: []*Match{oneOf(Customer, Pattern(fmt.Sprintf("org-%d-*", i))),
 				{Op: In, Field: Cost, Ranges: []Range{{int64(time.Second), int64(time.Minute)}}}}}
 		default:
-			m = &Match{Op: And, Of: []*Match{oneOf(Type, types[i%4], types[(i+1)%4]), oneOf(Customer, Pattern(fmt.Sprint("org-", i)))}}
+			m = &Match{Op: And, Of: []*Match{oneOf(Type, types[i%4], types[(i+1)%4]),
+				oneOf(Customer, Pattern(fmt.Sprint("org-", i)))}}
 		}
 		p.Routes = append(p.Routes, &Route{Name: RouteName(fmt.Sprint("r", i)), Match: m})
 	}
--- a/decide/route/text.go
+++ b/decide/route/text.go
@@ -151,7 +151,10 @@
 func (t textSet) simplify() textSet {
 	shortest := -1
 	for n, list := range t.included {
-		onlyLiterals := !slices.ContainsFunc(list, func(p Pattern) bool { _, isLiteral := p.Literal(); return !isLiteral })
+		onlyLiterals := !slices.ContainsFunc(list, func(p Pattern) bool {
+			_, isLiteral := p.Literal()
+			return !isLiteral
+		})
 		if onlyLiterals && (shortest < 0 || len(list) < len(t.included[shortest])) {
 			shortest = n
 		}
@@ -176,7 +179,8 @@
 	case len(t.included) == 0 && len(t.excluded) == 0:
 		return other
 	}
-	common := textSet{included: slices.Concat(t.included, other.included), excluded: slices.Concat(t.excluded, other.excluded)}
+	common := textSet{included: slices.Concat(t.included, other.included),
+		excluded: slices.Concat(t.excluded, other.excluded)}
 	slices.Sort(common.excluded)
 	common.excluded = slices.Compact(common.excluded)
 	return common.simplify()
@@ -221,13 +225,13 @@
 		return text, true, true
 	}
 	// Try likely texts first: those of the patterns, with a few texts in place of the wildcards.
-	for _, fill := range [...]string{"x", "", "q7", "zz-9"} {
+	for _, wildcardText := range [...]string{"x", "", "q7", "zz-9"} {
 		candidates := []Pattern{"*"}
 		if len(t.included) > 0 {
 			candidates = t.included[0]
 		}
 		for _, p := range candidates {
-			if text = p.sample(fill); t.contains(text) {
+			if text = p.sample(wildcardText); t.contains(text) {
 				return text, true, true
 			}
 		}
@@ -235,8 +239,8 @@
 	return t.search()
 }
 
-// automaton is the nondeterministic finite automaton of one pattern. Its state is a bit set of the tokens that may match
-// the next character; a bit past the last token stands for a complete match.
+// automaton is the nondeterministic finite automaton of one pattern. Its state is a bit set of the tokens that may
+// match the next character; the bit past the last token stands for a complete match.
 type automaton struct {
 	tokens     []rune
 	stateWords int // length of the state in 64-bit words
@@ -316,7 +320,8 @@
 			for range list {
 				a := automata[index]
 				matched = matched || a.accepts(state[offset:offset+a.stateWords])
-				listViable = listViable || slices.ContainsFunc(state[offset:offset+a.stateWords], func(w uint64) bool { return w != 0 })
+				listViable = listViable || slices.ContainsFunc(state[offset:offset+a.stateWords],
+					func(w uint64) bool { return w != 0 })
 				index, offset = index+1, offset+a.stateWords
 			}
 			if inSet = inSet && matched; !listViable {
