--- a/decide/route/compare.go
+++ b/decide/route/compare.go
@@ -9,7 +9,7 @@
 // maxPieces bounds the number of boxes that remain of a route after those of the routes before it are subtracted.
 const maxPieces = 512
 
-// planIndex has the boxes of all routes of a plan, and finds the routes that may overlap a box.
+// planIndex holds the boxes of all routes of a plan, and finds the routes that may overlap a box.
 type planIndex struct {
 	boxes   [][]box
 	tooWide []bool // routes that expand to too many boxes; these have none here
@@ -223,7 +223,8 @@
 			if m >= n || len(pieces) == 0 {
 				break
 			}
-			if *comparisons += len(pieces); index.tooWide[m] || len(pieces) > maxPieces || *comparisons > maxComparisons {
+			if *comparisons += len(pieces); index.tooWide[m] || len(pieces) > maxPieces ||
+				*comparisons > maxComparisons {
 				return taken, false
 			}
 			pieces = subtractAll(pieces, index.boxes[m])
--- a/decide/route/match.go
+++ b/decide/route/match.go
@@ -169,6 +169,7 @@
 	return m.describe()
 }
 
+// describe returns the match in the words of the operators' file, as far as its terms have a Source.
 func (m *Match) describe() string {
 	if m.Source != "" || len(m.Of) == 0 {
 		return m.Source
@@ -289,6 +290,7 @@
 
 var allNumbers = []Range{{Untold, math.MaxInt64}}
 
+// unrestrictedBox returns the box of all jobs.
 func unrestrictedBox() (b box) {
 	for n := range b.numbers {
 		b.numbers[n] = allNumbers
--- a/decide/route/plan.go
+++ b/decide/route/plan.go
@@ -74,7 +74,7 @@
 	FurtherFree  int           // retries allowed in addition to the share
 	FurtherSpan  time.Duration // sliding window of the retry budget
 	FurtherWait  time.Duration // delay from the end of an attempt to a retry
-	RepeatWindow time.Duration // how long after its first attempt a job that may have run may be retried; 0: the class's
+	RepeatWindow time.Duration // time after its first attempt in which a job that may have run may be retried; 0: the class's
 	FallbackWait time.Duration // time that a pool must be below its minimum before its fallback is used
 	ReturnWait   time.Duration // time that a pool must be healthy again before it is used again
 	ReturnOver   time.Duration // time in which its share of new jobs then grows from none to all (slow start)
@@ -133,8 +133,8 @@
 
 // NewPolicy returns a policy with the default values. A pool must be healthy for 2 s before it is used again, about
 // eight times the time in which an engine that has come back answers its first trial. Its share of new jobs then grows
-// over 5 s, a third of the usual cold time, because its engines are cold. The window of the retry budget is that of
-// rule 7 on most platforms.
+// over 5 s, a third of the time that an engine usually stays cold, because its engines are cold. The window of the
+// retry budget is that of rule 7 on most platforms.
 func NewPolicy(name string) Policy {
 	return Policy{Name: name, FurtherSpan: 10 * time.Second, ReturnWait: 2 * time.Second, ReturnOver: 5 * time.Second}
 }
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -621,7 +621,7 @@
 		return use.jobShare(r.now, &j.route.Policy) > 0
 	})
 	if !anyInUse && !primary.pool.removed && primary.pool.usableCount > 0 {
-		return // no pool is in use, and the job's pool, which has a usable engine, is as good a last resort as any other
+		return // no pool is in use, and the job's pool, with a usable engine, is as good a last resort as any other
 	}
 	lane, rejected := r.chooseLane(j.route)
 	if rejected && !j.givenUp {
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -28,7 +28,7 @@
 // group is the tree of all boxes that can be found by the same fields. In one tree with all boxes, those that do not
 // test a field would have to be repeated under each text of that field that other boxes name.
 type group struct {
-	fieldMask uint
+	fieldMask uint   // bit set of these fields
 	firstRank uint64 // lowest rank of its entries
 	root      *node
 }
@@ -55,6 +55,7 @@
 	otherRanges   []Range // the other ranges
 }
 
+// newEntry returns the entry of a box of a route. A nil box stands for the whole match, if it has too many boxes.
 func newEntry(r *Route, b *box, rank uint64) *entry {
 	e := &entry{route: r, box: b, rank: rank}
 	if b == nil {
--- a/decide/route/text.go
+++ b/decide/route/text.go
@@ -189,6 +189,7 @@
 // clearlyEmpty is a quick test for an empty set. It may report false for some empty sets; example decides these.
 func (t *textSet) clearlyEmpty() bool { return t.onlyLiterals && len(t.included[0]) == 0 }
 
+// clearlyDisjoint is a quick test that two sets have no text in common. It may report false for some that have none.
 func (t *textSet) clearlyDisjoint(other *textSet) bool {
 	if t.onlyLiterals && len(t.included[0]) == 1 {
 		text, _ := t.included[0][0].Literal()
@@ -268,6 +269,7 @@
 	}
 }
 
+// accepts reports whether the characters so far match the whole pattern.
 func (a automaton) accepts(state []uint64) bool {
 	return state[len(a.tokens)/64]&(1<<(len(a.tokens)%64)) != 0
 }
