--- a/decide/route/meter.go
+++ b/decide/route/meter.go
@@ -47,7 +47,7 @@
 const maxReservation = time.Minute
 
 // takeToken takes a token of the route's rate. If there is none, it reserves a future one and returns the time until
-// then. No two refused jobs reserve the same token.
+// then. Within maxReservation, no two refused jobs reserve the same token.
 func (m *meter) takeToken(now time.Duration, p *Policy) (retryAfter time.Duration, ok bool) {
 	if p.Rate == 0 {
 		return 0, true
@@ -69,7 +69,7 @@
 func seconds(s float64) time.Duration { return time.Duration(math.Min(s, 1e6) * float64(time.Second)) }
 
 // reservePlace reports whether one more job may be held. If not, it reserves a place that is expected to become free
-// and returns the time until then. No two refused jobs reserve the same place.
+// and returns the time until then. Within maxReservation, no two refused jobs reserve the same place.
 func (m *meter) reservePlace(now time.Duration, p *Policy) (retryAfter time.Duration, ok bool) {
 	if p.MostHeld == 0 || m.openJobs-m.inFlight < p.MostHeld {
 		return 0, true
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -391,7 +391,7 @@
 		v.pools[p.Name] = state
 		v.poolOrder = append(v.poolOrder, state)
 		if len(r.versions) > 1 {
-			// Keep the maximum size that the pool had in the versions before.
+			// Keep the maximum size that the latest earlier version with this pool has tracked.
 			for _, older := range r.versions[:len(r.versions)-1] {
 				if earlier := older.pools[p.Name]; earlier != nil && older != v {
 					state.previousMax = max(earlier.currentMax, earlier.previousMax)
