--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -1,24 +1,29 @@
-// Package member decides who is in a fleet of instances that talk: who is there, since when, how sure, and how little this
-// instance itself may know. It does no I/O and asks no clock.
+// Package member implements group membership for a fleet of instances: which members there are, their status, and how well
+// this instance itself is connected. It does no I/O and reads no clock; callers pass in the time, and a Host carries out what
+// is decided.
 //
-// It follows SWIM (probes in random rounds, others asked to probe as well, suspicion before a verdict, news on the back of
-// probes) with what Lifeguard adds (an instance that is late doubts itself, suspicion ends sooner the more accuse), and
-// builds on something both lack: a freshness for each member, which is a bound and no guess. It holds without any agreement
-// of clocks: an answer left its sender after the question left here; what the sender told of third ones was as old as it
-// says when it answered. So a word is never believed newer than it is, however long it was on its way.
+// The protocol is SWIM (probes in randomized rounds, indirect probes through helpers, suspicion before a member is declared
+// gone, updates piggybacked on the probes) with extensions of Lifeguard (an instance that runs late raises its local health
+// multiplier and gives others more time; a suspicion times out sooner the more members confirm it).
 //
-// Its promises, with clocks that run at the same speed and members that tell the truth about ages:
-//   - Age is never less than the true age of the newest word of that member that has come here, by whichever way.
-//   - A member of which a word came that left it after a suspicion began is not gone by that suspicion; one that anyone in
-//     contact with this instance hears is not declared gone here.
-//   - An instance that hears nothing of others, or is not heard, says so within DeafAfter periods, and declares nobody gone
-//     until it hears and is heard again. One that stood still knows on waking that all it knows is old.
-//   - Whoever can exchange messages with one of a part of the fleet again is a member of it again, without help.
-//   - No more members are kept than the settings say, and no message has more in it.
+// In addition, it keeps for each member an upper bound on the age of its newest sign of life, that is, of the newest message
+// that the member sent, whether it arrived here or others reported it. The bound needs no synchronized clocks: an answer left
+// its sender after the request left here, and what the sender reported of third members was as old as stated when it answered.
+// So a sign of life is never taken for newer than it is, no matter how long messages were in transit.
 //
-// A peer that lies can have a member suspected by those that had no word of it for three periods, until the next one comes,
-// and never declared gone by those that hear it; it can make a member that is gone look fresh. Whoever holds the key is
-// trusted that far.
+// Guarantees, provided that all clocks run at the same speed and members report ages truthfully:
+//   - Age is never less than the true age of the member's newest sign of life known here, direct or reported.
+//   - A suspicion does not end in Gone once a sign of life is known that the member sent after the suspicion began. A member
+//     that is heard by anyone in contact with this instance is not declared gone here.
+//   - An instance that hears nothing of others, or that others do not hear, reports so within DeafAfterPeriods periods, and
+//     declares nobody gone until messages pass in both directions again. An instance that was paused knows on resuming that
+//     all its information is old.
+//   - An instance that can again exchange messages with one member of a part of the fleet rejoins that part without help.
+//   - The number of members kept and the content of each message stay within Settings.
+//
+// A peer that lies can have a member suspected by instances that had no sign of life of it for three periods, until the next
+// one arrives, but cannot have it declared gone by instances that hear it. It can make a member that is gone look fresh.
+// Whoever holds the shared key is trusted that far.
 package member
 
 import (
@@ -32,577 +37,597 @@
 )
 
 type (
-	Name    string
+	// Name identifies a member. It stays the same across restarts.
+	Name string
+	// Address is where a member receives messages.
 	Address string
-	// Life is a process under a name, larger for later ones: when it started, in ns.
+	// Life tells apart the processes that run under one name: the start time in ns, larger for later ones.
 	Life int64
-	// Seq numbers the questions of an instance.
+	// Seq numbers the requests (Ping, PingReq) of an instance.
 	Seq uint64
 )
 
-// Status is what is concluded of a member.
+// Status is the state of a member as this instance sees it.
 type Status int8
 
 const (
-	Told    Status = iota // others speak of it, and no word of its own has come
-	Alive                 // a word of its own has come
-	Suspect               // it did not answer, and nobody told of a newer word
-	Gone                  // nor until the suspicion was over
-	Left                  // it said so itself
+	Unverified Status = iota // reported by others; no sign of life of its own is known yet
+	Alive                    // a sign of life is known
+	Suspect                  // it did not answer a probe, and nobody reported a newer sign of life
+	Gone                     // the suspicion timed out without a newer sign of life
+	Left                     // it announced that it leaves
 )
 
 func (s Status) String() string {
-	return [...]string{"told", "alive", "suspect", "gone", "left"}[min(max(s, Told), Left)]
+	return [...]string{"told", "alive", "suspect", "gone", "left"}[min(max(s, Unverified), Left)]
 }
 
-// Contact is what is concluded of this instance itself.
+// Contact is how well this instance itself is connected to the others.
 type Contact int8
 
 const (
-	Alone     Contact = iota // nobody is known
-	Connected                // words of two thirds of the members are fresh
-	Partly                   // of fewer
-	Mute                     // words come, and nobody answers what is asked here
-	Deaf                     // nothing comes
+	Alone     Contact = iota // no other member is known
+	Connected                // the signs of life of at least two thirds of the members are fresh
+	Partial                  // those of fewer than two thirds are fresh
+	Mute                     // messages arrive, but no requests of this instance are answered
+	Deaf                     // no messages arrive
 )
 
 func (c Contact) String() string {
 	return [...]string{"alone", "connected", "partly", "mute", "deaf"}[min(max(c, Alone), Deaf)]
 }
 
-// Record is what is told of a member.
+// Record is a membership update: the state of a member as one instance sees it.
 type Record struct {
 	Name    Name
 	Address Address
 	Life    Life
-	Turn    uint32 // how often the member has refuted suspicions in this life
+	Turn    uint32 // incarnation number: how often the member has refuted a suspicion in this life
 	Status  Status
-	By      Name // who accuses it
+	By      Name // the member that suspects it, if any
 }
 
-// Age is how old the newest word of a member was when it was told; Of is the member's mark.
+// Age reports how old the newest sign of life of a member was when the message was sent. Hash is the memberHash of the member.
 type Age struct {
-	Of  uint32
-	Old time.Duration
+	Hash uint32
+	Age  time.Duration
 }
 
-// Kind of a message.
+// Kind is the type of a message.
 type Kind int8
 
 const (
-	Ping Kind = 1 + iota // an Ack is wanted
-	Ask                  // the receiver is to ping another
-	Ack                  // answers a Ping, or an Ask once the other has answered
-	Nack                 // answers an Ask whose other has not answered
-	Bye                  // the sender leaves
+	Ping    Kind = 1 + iota // requests an Ack
+	PingReq                 // requests that the receiver pings the target on behalf of the sender
+	Ack                     // answers a Ping, or a PingReq once the target has answered
+	Nack                    // answers a PingReq whose target has not answered in time
+	Leave                   // the sender leaves the fleet
 )
 
-// Message fits a datagram.
+// Message is what is sent in one datagram. The transport may cut optional parts off to make it fit.
 type Message struct {
-	Kind    Kind
-	Seq     Seq    // of the question
-	From    Record // of the sender
-	To      Name   // whom the sender takes the receiver for, or none
-	About   Record // whom an Ask is about, and its answer
-	News    []Record
-	Ages    []Age    // in answers only
-	Misses  []uint32 // marks of members that are alive and don't answer the sender directly
-	Parcels []Parcel
+	Kind        Kind
+	Seq         Seq      // of the request; an answer repeats it
+	From        Record   // the sender's record of itself
+	To          Name     // whom the sender expects at the address; empty if unknown
+	Target      Record   // whom a PingReq, and the answer to it, is about
+	Updates     []Record // piggybacked membership updates
+	Ages        []Age    // in Ack and Nack only
+	Unreachable []uint32 // hashes of members that are alive but do not answer the sender's direct probes
+	Payloads    []Payload
 }
 
-// Parcel is something of another module's that travels along.
-type Parcel struct {
-	Cargo byte
-	Data  []byte
+// Payload is data of another module that is piggybacked on a message. Type is its key in Settings.Cargo.
+type Payload struct {
+	Type byte
+	Data []byte
 }
 
-// Cargo is what another module has to spread. Packing and unpacking must stand loss, delay, doubling and any order.
+// Cargo is a module whose data is piggybacked on messages. It must tolerate loss, delay, duplication and reordering.
 type Cargo interface {
-	// Pack gives at most so many bytes for a member, most urgent first, or none.
+	// Pack returns at most room bytes for a member, the most urgent data first, or nothing.
 	Pack(now time.Duration, to Name, room int) []byte
-	// Unpack is told what came, and an age that it is not older than, below 0 where none is known.
+	// Unpack takes data that a member sent. The data is no older than age; age is negative if no bound is known.
 	Unpack(now time.Duration, from Name, life Life, age time.Duration, data []byte)
-	// Gone tells of a member that is held for gone, or has left.
+	// Gone is called when a member is declared gone or has left.
 	Gone(name Name)
 }
 
-// Host carries out what is decided.
+// Host carries out what a Member decides. Member calls it from within its own methods.
 type Host interface {
-	Send(to Address, m Message)       // in one datagram, which may be lost
-	Exchange(to Address)              // of the full state, over a stream; Synced follows, or nothing
-	WakeAt(at time.Duration)          // Tick at that time, or soon after, and not at the one asked for before
-	Changed(now time.Duration, m One) // what is concluded of a member
-	Turned(now time.Duration, c Contact, since time.Duration)
-	Displaced(by Record) // another instance lives under this name: this one is silent from now on
-}
-
-// Settings of an instance. Zero values have the defaults that their comments tell.
+	// Send sends a message in one datagram, which may be lost.
+	Send(to Address, m Message)
+	// ExchangeState starts an exchange of the full state over a stream. HandleState is called with the answer if one arrives.
+	ExchangeState(to Address)
+	// WakeAt schedules Tick for that time or soon after, and replaces the time scheduled before.
+	WakeAt(at time.Duration)
+	// StatusChanged reports a member whose status has changed.
+	StatusChanged(now time.Duration, m Info)
+	// ContactChanged reports that the contact of this instance has changed, and since when it is so.
+	ContactChanged(now time.Duration, c Contact, since time.Duration)
+	// Displaced reports that a later instance runs under this name. This instance sends nothing from now on.
+	Displaced(by Record)
+}
+
+// Settings configures an instance. A zero value stands for the default that the comment names.
 type Settings struct {
-	Name    Name
-	Address Address
-	Life    Life
-	Seeds   []Address     // where others may be found
-	Period  time.Duration // between probes; 1 s
-	Answer  time.Duration // within which an answer to a probe is usual; half a period
-	Helpers int           // asked to probe as well; 3
-	Most    int           // members that are kept; 1,000
-	News    int           // records in a message; 8
-	Ages    int           // in an answer; 64, which fit a datagram beside most news
-	Room    int           // bytes for parcels in a message; 400
-	Cargo   map[byte]Cargo
+	Name            Name
+	Address         Address
+	Life            Life
+	Seeds           []Address      // addresses to join through
+	Period          time.Duration  // protocol period, the time between probes; default 1 s
+	AckTimeout      time.Duration  // time for a direct probe to be answered before indirect probes are sent; default half a period
+	IndirectProbes  int            // members that are asked for an indirect probe; default 3
+	MaxMembers      int            // members that are kept; default 1,000
+	MaxUpdates      int            // updates in a message; default 8
+	MaxAges         int            // ages in an answer; default 64, which fit into a datagram together with most sets of updates
+	MaxPayloadBytes int            // bytes of payloads in a message; default 400
+	Cargo           map[byte]Cargo // modules whose data is piggybacked, by payload type
 }
 
 func (s *Settings) defaults() {
 	s.Period = cmp.Or(s.Period, time.Second)
-	s.Answer = cmp.Or(s.Answer, s.Period/2)
-	s.Helpers, s.Most = cmp.Or(s.Helpers, 3), cmp.Or(s.Most, 1000)
-	s.News, s.Ages, s.Room = cmp.Or(s.News, 8), cmp.Or(s.Ages, 64), cmp.Or(s.Room, 400)
+	s.AckTimeout = cmp.Or(s.AckTimeout, s.Period/2)
+	s.IndirectProbes, s.MaxMembers = cmp.Or(s.IndirectProbes, 3), cmp.Or(s.MaxMembers, 1000)
+	s.MaxUpdates, s.MaxAges, s.MaxPayloadBytes = cmp.Or(s.MaxUpdates, 8), cmp.Or(s.MaxAges, 64), cmp.Or(s.MaxPayloadBytes, 400)
 }
 
-// One is what is known of a member.
-type One struct {
+// Info is what is known about a member.
+type Info struct {
 	Record
-	Age    time.Duration // its newest word is no older; below 0 where none has come
-	Hears  time.Duration // since it last proved to hear this instance directly; below 0: it never has
-	Direct time.Duration // since a message of its own last came, which may have been on its way for long; below 0: never
-	Since  time.Duration // when the status was concluded
+	Age         time.Duration // upper bound on the age of its newest sign of life; negative if there is none
+	Hears       time.Duration // time since it last proved to receive this instance's messages directly; negative if never
+	Direct      time.Duration // time since a message of its own last arrived, which may have been in transit for long; negative if never
+	StatusSince time.Duration // time at which the status was set
 }
 
-// peer is the state of another member.
+// peer is the state of another member. Times are on the clock that callers pass in, or never.
 type peer struct {
 	Record
-	mark     uint32
-	left     time.Duration // its newest word left it then or later
-	hears    time.Duration
-	direct   time.Duration
-	since    time.Duration
-	deadline time.Duration // of a suspicion
-	doubted  time.Duration // how old its newest word was as the suspicion began
-	accusers []Name
-	told     int // how often its record has gone out
-	missed   int // probes in a row that it did not answer directly
-	misses   []uint32
-}
-
-// never is a time before all others.
+	hash              uint32
+	lastAlive         time.Duration // its newest known sign of life was sent at this time or later
+	heardUs           time.Duration // when the newest request was sent that it answered directly
+	lastReceived      time.Duration // when a message of its own last arrived
+	statusSince       time.Duration // when the status was set
+	suspicionDeadline time.Duration // when the suspicion ends in Gone
+	ageWhenSuspected  time.Duration // how old its newest sign of life was when the suspicion began, at most MaxFreshAge
+	accusers          []Name        // members that suspect it
+	timesSent         int           // how often its record has been sent
+	missedProbes      int           // probes in a row that it did not answer directly
+	unreachable       []uint32      // members that it cannot reach directly, as it last reported
+}
+
+// never is a time before all others. It is a quarter of the smallest value so that differences do not overflow.
 const never = time.Duration(math.MinInt64 / 4)
 
-// probe is the question that is out in this period.
+// probe is the probe of the current period.
 type probe struct {
-	who    Name
-	seq    Seq
-	sent   time.Duration
-	helped bool
-	nacks  int // of helpers, expected and come
-	asked  int
-	done   bool
+	target   Name
+	seq      Seq
+	sentAt   time.Duration
+	indirect bool // indirect probes were requested
+	nacks    int  // Nack answers received from helpers
+	helpers  int  // helpers asked
+	done     bool
 }
 
-// favour is a probe for another.
-type favour struct {
-	asker Address
-	to    Name
-	seq   Seq
-	about Record
-	until time.Duration
+// relayedPing is a ping that this instance sends on behalf of a member that asked with a PingReq.
+type relayedPing struct {
+	requester     Address
+	requesterName Name
+	requestSeq    Seq // of the PingReq
+	target        Record
+	deadline      time.Duration // when a Nack is sent to the requester
 }
 
-// Member is the state of one instance.
+// Member is the protocol state of one instance. It is not safe for concurrent use.
 type Member struct {
-	host   Host
-	set    Settings
-	rng    *rand.Rand
-	own    Record
-	peers  map[Name]*peer
-	names  []Name // in order
-	round  []Name // left to probe in this round
-	ages   []Name // left to tell ages of
-	seq    Seq
-	asked  map[Seq]time.Duration // when questions left, also late answers prove something
-	probe  probe
-	favors map[Seq]favour
-	next   time.Duration // probe
-	heal   time.Duration // when to try one that is gone, or a seed
-	sync   time.Duration // when to exchange the full state
-	syncs  int           // how often that was
-	woken  time.Duration // the last Tick
-	due    time.Duration // the next
-	health int           // of this instance, 0 is well
-
-	contact Contact
-	turned  time.Duration
-	silent  bool // displaced or left
-}
-
-// New gives an instance that has not begun.
-func New(host Host, set Settings, seed int64) *Member {
-	set.defaults()
-	return &Member{host: host, set: set, rng: rand.New(rand.NewSource(seed)), peers: map[Name]*peer{}, asked: map[Seq]time.Duration{},
-		favors: map[Seq]favour{}, own: Record{Name: set.Name, Address: set.Address, Life: set.Life, Status: Alive}}
-}
-
-// Begin starts it.
-func (m *Member) Begin(now time.Duration) {
-	m.woken, m.turned = now, now
-	for _, s := range m.set.Seeds {
-		m.greet(now, s)
-	}
-	// Instances that start together do not probe together.
-	m.next = now + time.Duration(m.rng.Int63n(int64(m.set.Period)))
-	m.heal, m.sync = now+m.set.Period, now+m.set.Period
-	m.wake(m.next)
-}
-
-// Leave says good-bye to some, who spread it.
+	host        Host
+	settings    Settings
+	rng         *rand.Rand
+	own         Record
+	peers       map[Name]*peer
+	names       []Name                // of the peers, sorted
+	probeRound  []Name                // members still to be probed in this round
+	ageRound    []Name                // members whose ages are still to be reported in this round
+	lastSeq     Seq                   // of the last request
+	requestedAt map[Seq]time.Duration // when requests were sent; late answers too are signs of life
+	probe       probe
+	relayed     map[Seq]relayedPing
+	nextProbe   time.Duration // when the next probe is due
+	nextRejoin  time.Duration // when to ping a member that is gone, or a seed
+	nextSync    time.Duration // when to exchange the full state
+	syncCount   int           // exchanges started so far
+	lastTick    time.Duration // the last Tick
+	nextTick    time.Duration // the time that the next Tick is scheduled for
+	healthScore int           // Lifeguard's local health score; timeouts are multiplied by 1 + healthScore, 0 is healthy
+
+	contact      Contact
+	contactSince time.Duration // since when contact is so
+	silent       bool          // displaced or left: sends and handles nothing
+}
+
+// New returns an instance that does nothing until Start is called. Equal seeds replay equal decisions.
+func New(host Host, settings Settings, seed int64) *Member {
+	settings.defaults()
+	return &Member{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)), peers: map[Name]*peer{}, requestedAt: map[Seq]time.Duration{},
+		relayed: map[Seq]relayedPing{}, own: Record{Name: settings.Name, Address: settings.Address, Life: settings.Life, Status: Alive}}
+}
+
+// Start pings the seeds and schedules the first Tick.
+func (m *Member) Start(now time.Duration) {
+	m.lastTick, m.contactSince = now, now
+	for _, seed := range m.settings.Seeds {
+		m.pingAddress(now, seed)
+	}
+	// A random offset keeps instances that start together from probing in step.
+	m.nextProbe = now + time.Duration(m.rng.Int63n(int64(m.settings.Period)))
+	m.nextRejoin, m.nextSync = now+m.settings.Period, now+m.settings.Period
+	m.wakeAt(m.nextProbe)
+}
+
+// Leave announces to some members that this instance leaves, and stops it. They disseminate the news.
 func (m *Member) Leave(now time.Duration) {
-	for _, p := range m.some(now, byes, "") {
-		m.send(now, p.Address, Message{Kind: Bye, To: p.Name})
+	for _, p := range m.randomAlive(now, leaveFanout, "") {
+		m.send(now, p.Address, Message{Kind: Leave, To: p.Name})
 	}
 	m.silent = true
 }
 
-// byes are told directly that an instance leaves; news of it reaches the others within a few periods.
-const byes = 8
+// leaveFanout is how many members are notified directly of a leave; updates reach the others within a few periods.
+const leaveFanout = 8
 
-func (m *Member) wake(at time.Duration) {
-	m.due = at
+func (m *Member) wakeAt(at time.Duration) {
+	m.nextTick = at
 	m.host.WakeAt(at)
 }
 
-// mark of a member and its life, for ages.
-func mark(r Record) uint32 {
+// memberHash identifies a member and its life in ages and in reports of unreachable members.
+func memberHash(r Record) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(r.Name)) // which never fails
-	var life [8]byte
-	for n := range life {
-		life[n] = byte(r.Life >> (8 * n))
+	_, _ = h.Write([]byte(r.Name)) // never fails
+	var lifeBytes [8]byte
+	for i := range lifeBytes {
+		lifeBytes[i] = byte(r.Life >> (8 * i))
 	}
-	_, _ = h.Write(life[:])
+	_, _ = h.Write(lifeBytes[:])
 	return h.Sum32()
 }
 
-// Tick is called at the time asked for, or after it.
+// Tick does what is due: probes, timeouts, rejoining, state exchange. The host calls it at the time passed to WakeAt, or later.
 func (m *Member) Tick(now time.Duration) {
 	if m.silent {
 		return
 	}
-	m.slept(now)
-	m.woken = now
-	m.step(now)
-	m.expire(now)
-	if now >= m.heal {
-		m.reach(now)
+	m.detectPause(now)
+	m.lastTick = now
+	m.advanceProbes(now)
+	m.expirePeers(now)
+	if now >= m.nextRejoin {
+		m.rejoin(now)
 	}
-	if now >= m.sync {
-		m.exchange(now)
+	if now >= m.nextSync {
+		m.startSync(now)
 	}
-	m.judge(now)
-	at := min(m.next, m.heal, m.sync)
+	m.updateContact(now)
+	at := min(m.nextProbe, m.nextRejoin, m.nextSync)
 	if !m.probe.done && m.probe.seq != 0 {
-		at = min(at, m.probe.sent+m.stretch(m.set.Answer), m.probe.sent+m.stretch(m.set.Period))
+		at = min(at, m.probe.sentAt+m.scaled(m.settings.AckTimeout), m.probe.sentAt+m.scaled(m.settings.Period))
 	}
 	for _, p := range m.peers {
 		if p.Status == Suspect {
-			at = min(at, p.deadline)
+			at = min(at, p.suspicionDeadline)
 		}
 	}
-	m.wake(max(at, now+m.set.Period/20))
+	m.wakeAt(max(at, now+m.settings.Period/20))
 }
 
-// stretch is a time as this instance's health allows it: one that is late gives others longer.
-func (m *Member) stretch(d time.Duration) time.Duration { return d * time.Duration(1+m.health) }
+// scaled multiplies a timeout by the local health multiplier: an instance that runs late gives others more time.
+func (m *Member) scaled(timeout time.Duration) time.Duration {
+	return timeout * time.Duration(1+m.healthScore)
+}
 
-// sickest is how bad health gets; Lifeguard's measure.
-const sickest = 8
+// maxHealthScore limits healthScore; the value is that of Lifeguard.
+const maxHealthScore = 8
 
-func (m *Member) feel(by int) { m.health = min(max(m.health+by, 0), sickest) }
+func (m *Member) adjustHealth(delta int) {
+	m.healthScore = min(max(m.healthScore+delta, 0), maxHealthScore)
+}
 
-// slept guards against accusing those that were there all along, by an instance that itself stood still: what it waited for
-// came and was not heard, so every wait begins anew, and it is not well.
-func (m *Member) slept(now time.Duration) {
-	late := now - max(m.due, m.woken)
-	if late < m.set.Period/2 {
+// detectPause keeps an instance that was itself paused from accusing members that were alive all along: the answers that it
+// waited for may have arrived and been lost. So it drops the current probe, extends all suspicions by the pause, and raises
+// its health score.
+func (m *Member) detectPause(now time.Duration) {
+	lateBy := now - max(m.nextTick, m.lastTick)
+	if lateBy < m.settings.Period/2 {
 		return
 	}
-	m.feel(2)
-	if late >= m.set.Period {
-		m.feel(sickest)
+	m.adjustHealth(2)
+	if lateBy >= m.settings.Period {
+		m.adjustHealth(maxHealthScore)
 	}
 	for _, p := range m.peers {
 		if p.Status == Suspect {
-			p.deadline += now - m.woken
+			p.suspicionDeadline += now - m.lastTick
 		}
 	}
 	m.probe.done = true
-	m.next = now
+	m.nextProbe = now
 }
 
-// step carries the probe of this period on, or begins the next one.
-func (m *Member) step(now time.Duration) {
+// advanceProbes moves the current probe on, answers relayed pings that timed out, and starts the next probe when it is due.
+func (m *Member) advanceProbes(now time.Duration) {
 	if p := &m.probe; !p.done && p.seq != 0 {
-		if !p.helped && now >= p.sent+m.stretch(m.set.Answer) {
-			m.help(now)
+		if !p.indirect && now >= p.sentAt+m.scaled(m.settings.AckTimeout) {
+			m.sendPingReqs(now)
 		}
-		if now >= p.sent+m.stretch(m.set.Period) {
-			m.failed(now)
+		if now >= p.sentAt+m.scaled(m.settings.Period) {
+			m.probeFailed(now)
 		}
 	}
-	for _, seq := range slices.Sorted(maps.Keys(m.favors)) { // in order, so that a seed replays
-		if f := m.favors[seq]; now >= f.until {
-			delete(m.favors, seq)
-			m.send(now, f.asker, Message{Kind: Nack, Seq: f.seq, To: f.to, About: f.about})
+	for _, seq := range slices.Sorted(maps.Keys(m.relayed)) { // sorted, so that a seed replays the same decisions
+		if ping := m.relayed[seq]; now >= ping.deadline {
+			delete(m.relayed, seq)
+			m.send(now, ping.requester, Message{Kind: Nack, Seq: ping.requestSeq, To: ping.requesterName, Target: ping.target})
 		}
 	}
-	if now < m.next {
+	if now < m.nextProbe {
 		return
 	}
-	m.next = now + m.set.Period
-	m.tryTold(now)
+	m.nextProbe = now + m.settings.Period
+	m.pingUnverified(now)
 	if m.probe.done || m.probe.seq == 0 {
-		m.begin(now)
+		m.startProbe(now)
 		return
 	}
-	// One that waits longer as it is not well asks on, or what it knows would grow old.
-	for _, p := range m.some(now, 1, m.probe.who) {
-		m.send(now, p.Address, Message{Kind: Ping, Seq: m.question(now), To: p.Name})
+	// An instance with a raised health score waits for its probe over several periods. It pings others meanwhile, or the signs
+	// of life that it knows would grow old.
+	for _, p := range m.randomAlive(now, 1, m.probe.target) {
+		m.send(now, p.Address, Message{Kind: Ping, Seq: m.newRequest(now), To: p.Name})
 	}
 }
 
-// begin asks the next one of a round in which each comes once, in an order drawn anew.
-func (m *Member) begin(now time.Duration) {
+// startProbe pings the next member of the round. Each round visits every member once, in a new random order.
+func (m *Member) startProbe(now time.Duration) {
 	for range 2 {
-		for len(m.round) > 0 {
-			who := m.round[0]
-			m.round = m.round[1:]
-			if p := m.peers[who]; p != nil && (p.Status == Alive || p.Status == Suspect) {
-				m.probe = probe{who: who, seq: m.question(now), sent: now}
-				m.send(now, p.Address, Message{Kind: Ping, Seq: m.probe.seq, To: who})
+		for len(m.probeRound) > 0 {
+			name := m.probeRound[0]
+			m.probeRound = m.probeRound[1:]
+			if p := m.peers[name]; p != nil && (p.Status == Alive || p.Status == Suspect) {
+				m.probe = probe{target: name, seq: m.newRequest(now), sentAt: now}
+				m.send(now, p.Address, Message{Kind: Ping, Seq: m.probe.seq, To: name})
 				return
 			}
 		}
-		m.round = slices.Clone(m.names)
-		m.rng.Shuffle(len(m.round), func(a, b int) { m.round[a], m.round[b] = m.round[b], m.round[a] })
+		m.probeRound = slices.Clone(m.names)
+		m.rng.Shuffle(len(m.probeRound), func(a, b int) { m.probeRound[a], m.probeRound[b] = m.probeRound[b], m.probeRound[a] })
 	}
 	m.probe = probe{done: true}
 }
 
-// tries of members that were only told of, a period. They take no probe from members: guards against whoever makes up a
-// thousand names, which would have the real ones probed a thousandth as often.
-const tries = 3
+// unverifiedPings is how many unverified members are pinged per period. These pings are sent in addition to the probe of the
+// period: a peer that makes up a thousand names would otherwise have the real members probed a thousandth as often.
+const unverifiedPings = 3
 
-// tryTold asks some that were told of, those first that have spoken here themselves.
-func (m *Member) tryTold(now time.Duration) {
-	var spoke, others []*peer
+// pingUnverified pings some unverified members, first those that have sent a message to this instance.
+func (m *Member) pingUnverified(now time.Duration) {
+	var heardFrom, others []*peer
 	for _, name := range m.names {
-		if p := m.peers[name]; p.Status == Told && p.direct != never {
-			spoke = append(spoke, p)
-		} else if p.Status == Told {
+		if p := m.peers[name]; p.Status == Unverified && p.lastReceived != never {
+			heardFrom = append(heardFrom, p)
+		} else if p.Status == Unverified {
 			others = append(others, p)
 		}
 	}
 	m.rng.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
-	all := append(spoke, others...)
-	for _, p := range all[:min(len(all), tries)] {
-		m.send(now, p.Address, Message{Kind: Ping, Seq: m.question(now), To: p.Name})
+	candidates := append(heardFrom, others...)
+	for _, p := range candidates[:min(len(candidates), unverifiedPings)] {
+		m.send(now, p.Address, Message{Kind: Ping, Seq: m.newRequest(now), To: p.Name})
 	}
 }
 
-// kept is for how many questions an answer still proves something.
-const kept = 64
+// trackedRequests is how many of the newest requests are kept; answers to older ones are no signs of life.
+const trackedRequests = 64
 
-func (m *Member) question(now time.Duration) Seq {
-	m.seq++
-	m.asked[m.seq] = now
-	delete(m.asked, m.seq-kept)
-	return m.seq
+func (m *Member) newRequest(now time.Duration) Seq {
+	m.lastSeq++
+	m.requestedAt[m.lastSeq] = now
+	delete(m.requestedAt, m.lastSeq-trackedRequests)
+	return m.lastSeq
 }
 
-// help asks others to probe as well, as the way from here may be what is broken.
-func (m *Member) help(now time.Duration) {
+// sendPingReqs asks helpers for indirect probes of the target, as it may be only the link from here that fails.
+func (m *Member) sendPingReqs(now time.Duration) {
 	p := &m.probe
-	p.helped = true
-	target := m.peers[p.who]
+	p.indirect = true
+	target := m.peers[p.target]
 	if target == nil {
 		p.done = true
 		return
 	}
-	target.missed++
-	for _, helper := range m.some(now, m.set.Helpers, p.who) {
-		p.asked++
-		m.asked[p.seq] = p.sent
-		m.send(now, helper.Address, Message{Kind: Ask, Seq: p.seq, To: helper.Name, About: target.Record})
+	target.missedProbes++
+	for _, helper := range m.randomAlive(now, m.settings.IndirectProbes, p.target) {
+		p.helpers++
+		m.requestedAt[p.seq] = p.sentAt
+		m.send(now, helper.Address, Message{Kind: PingReq, Seq: p.seq, To: helper.Name, Target: target.Record})
 	}
 }
 
-// some gives so many others at random, those that are alive first.
-func (m *Member) some(now time.Duration, many int, but Name) (some []*peer) {
-	for _, n := range m.rng.Perm(len(m.names)) {
-		if p := m.peers[m.names[n]]; p.Status == Alive && p.Name != but && len(some) < many {
-			some = append(some, p)
+// randomAlive returns up to count random members that are alive, without the excluded one.
+func (m *Member) randomAlive(now time.Duration, count int, exclude Name) (picked []*peer) {
+	for _, i := range m.rng.Perm(len(m.names)) {
+		if p := m.peers[m.names[i]]; p.Status == Alive && p.Name != exclude && len(picked) < count {
+			picked = append(picked, p)
 		}
 	}
-	return some
+	return picked
 }
 
-// failed concludes that nobody here reaches a member, unless a word of it came by any other way since the probe left, or
-// shortly before.
-func (m *Member) failed(now time.Duration) {
+// probeFailed suspects the target of a probe that got no answer, direct or indirect, unless another path brought a sign of
+// life that was sent after the probe or shortly before it.
+func (m *Member) probeFailed(now time.Duration) {
 	p := m.probe
 	m.probe.done = true
-	// Helpers that say nothing at all, not even no, are a sign that this instance is not heard.
-	if p.asked > p.nacks {
-		m.feel(1)
+	// Helpers that send not even a Nack indicate that this instance's own messages or the answers to them get lost.
+	if p.helpers > p.nacks {
+		m.adjustHealth(1)
 	}
-	who := m.peers[p.who]
-	if who == nil || who.Status > Suspect || who.left >= p.sent-m.trust() {
+	target := m.peers[p.target]
+	if target == nil || target.Status > Suspect || target.lastAlive >= p.sentAt-m.probeExcuse() {
 		return
 	}
-	m.suspect(now, who, m.own.Name)
+	m.suspect(now, target, m.own.Name)
 }
 
-// trust is how old a word may be that still excuses a probe without an answer: words go round in some periods.
-func (m *Member) trust() time.Duration { return 2 * m.set.Period }
+// probeExcuse is how much older than the probe a sign of life may be and still prevent a suspicion: it takes some periods
+// until a sign of life has reached all members.
+func (m *Member) probeExcuse() time.Duration { return 2 * m.settings.Period }
 
-// suspect begins a suspicion, or adds an accuser to one.
-func (m *Member) suspect(now time.Duration, p *peer, by Name) {
+// suspect starts a suspicion, or adds an accuser to it, which shortens the timeout.
+func (m *Member) suspect(now time.Duration, p *peer, accuser Name) {
 	if p.Status != Suspect {
 		p.accusers = p.accusers[:0]
-		p.By = by
-		m.conclude(now, p, Suspect)
-		p.doubted = min(now-p.left, m.FreshWithin())
-		p.deadline = now + m.patience(p, 0)
+		p.By = accuser
+		m.setStatus(now, p, Suspect)
+		p.ageWhenSuspected = min(now-p.lastAlive, m.MaxFreshAge())
+		p.suspicionDeadline = now + m.suspicionTimeout(p, 0)
 	}
-	if !slices.Contains(p.accusers, by) && len(p.accusers) <= m.set.Helpers {
-		p.accusers = append(p.accusers, by)
-		p.deadline = min(p.deadline, max(p.since+m.patience(p, len(p.accusers)-1), now))
+	if !slices.Contains(p.accusers, accuser) && len(p.accusers) <= m.settings.IndirectProbes {
+		p.accusers = append(p.accusers, accuser)
+		p.suspicionDeadline = min(p.suspicionDeadline, max(p.statusSince+m.suspicionTimeout(p, len(p.accusers)-1), now))
 	}
 }
 
-// patience is how long a suspicion lasts: the longer the larger the fleet, as news and refutations take longer, and the
-// shorter the more accuse. Least is what news takes to reach all and come back, three times over; with one accuser it is
-// three times as long (Lifeguard has six: freshness excuses most before). And it is twice as long as its words were old
-// before, and some periods: guards against declaring gone, while all accuse it, who is heard over several others only.
-func (m *Member) patience(p *peer, confirmed int) time.Duration {
-	least := 3 * math.Max(1, math.Log10(float64(len(m.names)+1)))
-	most := 3 * least
-	part := math.Log(float64(confirmed+1)) / math.Log(float64(m.set.Helpers+1))
-	return max(time.Duration(math.Max(least, most-(most-least)*part)*float64(m.set.Period)), 2*p.doubted+3*m.set.Period)
-}
-
-// expire ends suspicions. An instance that is not in contact doubts itself first.
-func (m *Member) expire(now time.Duration) {
+// suspicionTimeout is how long a suspicion lasts. It grows with the size of the fleet, as updates and refutations take longer,
+// and shrinks with the number of members that confirm the suspicion. The minimum is three times what an update takes to reach
+// all members and its refutation to come back. With a single accuser it is three times the minimum (six times in Lifeguard;
+// here a recent sign of life prevents most suspicions beforehand).
+//
+// It is also at least twice the age that the newest sign of life had when the suspicion began, plus three periods. Otherwise a
+// member that is heard only through several intermediate members would be declared gone while all accuse it.
+func (m *Member) suspicionTimeout(p *peer, confirmations int) time.Duration {
+	minPeriods := 3 * math.Max(1, math.Log10(float64(len(m.names)+1)))
+	maxPeriods := 3 * minPeriods
+	fraction := math.Log(float64(confirmations+1)) / math.Log(float64(m.settings.IndirectProbes+1))
+	return max(time.Duration(math.Max(minPeriods, maxPeriods-(maxPeriods-minPeriods)*fraction)*float64(m.settings.Period)), 2*p.ageWhenSuspected+3*m.settings.Period)
+}
+
+// expirePeers ends suspicions that timed out and removes peers that are kept no longer. An instance that is Deaf or Mute extends
+// suspicions instead, as the fault is likely its own.
+func (m *Member) expirePeers(now time.Duration) {
 	for _, name := range slices.Clone(m.names) {
 		p := m.peers[name]
 		switch {
-		case p.Status == Suspect && now >= p.deadline:
-			if c := m.contactNow(now); c == Deaf || c == Mute {
-				p.deadline = now + m.set.Period
+		case p.Status == Suspect && now >= p.suspicionDeadline:
+			if c := m.computeContact(now); c == Deaf || c == Mute {
+				p.suspicionDeadline = now + m.settings.Period
 			} else {
-				m.conclude(now, p, Gone)
+				m.setStatus(now, p, Gone)
 			}
-		case p.Status >= Gone && now-p.since > forgetAfter, p.Status == Told && now-p.since > toldFor:
-			m.forget(p)
+		case p.Status >= Gone && now-p.statusSince > goneRetention, p.Status == Unverified && now-p.statusSince > unverifiedRetention:
+			m.remove(p)
 		}
 	}
 }
 
-// One that is gone is tried again for an hour, longer than a split that nobody mends; one that was only told of and answers
-// nothing is dropped after half a minute.
-const forgetAfter, toldFor = time.Hour, 30 * time.Second
+// A member that is gone is kept, and pinged now and then, for an hour, which is longer than a network partition stays
+// unrepaired. An unverified member that answers nothing is dropped after half a minute.
+const goneRetention, unverifiedRetention = time.Hour, 30 * time.Second
 
-func (m *Member) forget(p *peer) {
+func (m *Member) remove(p *peer) {
 	delete(m.peers, p.Name)
-	if at, is := slices.BinarySearch(m.names, p.Name); is {
-		m.names = slices.Delete(m.names, at, at+1)
+	if i, found := slices.BinarySearch(m.names, p.Name); found {
+		m.names = slices.Delete(m.names, i, i+1)
 	}
 }
 
-func (m *Member) conclude(now time.Duration, p *peer, s Status) {
-	if p.Status == s {
+func (m *Member) setStatus(now time.Duration, p *peer, status Status) {
+	if p.Status == status {
 		return
 	}
-	p.Status, p.since, p.told = s, now, 0
-	if s != Suspect {
+	p.Status, p.statusSince, p.timesSent = status, now, 0
+	if status != Suspect {
 		p.accusers = p.accusers[:0]
 		p.By = ""
 	}
-	if s == Gone {
+	if status == Gone {
 		p.By = m.own.Name
 	}
-	if s >= Gone {
-		for _, cargo := range m.set.Cargo {
+	if status >= Gone {
+		for _, cargo := range m.settings.Cargo {
 			cargo.Gone(p.Name)
 		}
 	}
-	m.host.Changed(now, m.one(now, p))
+	m.host.StatusChanged(now, m.info(now, p))
 }
 
-// healEvery periods one that is gone, or a seed, is tried, as after a split nobody else would; while nobody is known every
-// period.
-const healEvery = 5
+// rejoinPeriods is how often, in periods, a random member that is gone, or a seed, is pinged: after a partition nothing else
+// would reconnect the parts. While no member is alive it is done every period.
+const rejoinPeriods = 5
 
-func (m *Member) reach(now time.Duration) {
+func (m *Member) rejoin(now time.Duration) {
 	var gone []*peer
-	alive := 0
+	aliveCount := 0
 	for _, name := range m.names {
 		switch p := m.peers[name]; p.Status {
 		case Gone:
 			gone = append(gone, p)
 		case Alive, Suspect:
-			alive++
+			aliveCount++
 		}
 	}
-	m.heal = now + healEvery*m.set.Period
-	if alive == 0 {
-		m.heal = now + m.set.Period
+	m.nextRejoin = now + rejoinPeriods*m.settings.Period
+	if aliveCount == 0 {
+		m.nextRejoin = now + m.settings.Period
 	}
-	if many := len(gone) + len(m.set.Seeds); many > 0 {
-		if n := m.rng.Intn(many); n < len(gone) {
-			m.greet(now, gone[n].Address)
+	if candidates := len(gone) + len(m.settings.Seeds); candidates > 0 {
+		if i := m.rng.Intn(candidates); i < len(gone) {
+			m.pingAddress(now, gone[i].Address)
 		} else {
-			m.greet(now, m.set.Seeds[n-len(gone)])
+			m.pingAddress(now, m.settings.Seeds[i-len(gone)])
 		}
 	}
 }
 
-// greet asks whoever is at an address.
-func (m *Member) greet(now time.Duration, at Address) {
-	if at != m.own.Address {
-		m.send(now, at, Message{Kind: Ping, Seq: m.question(now)})
+// pingAddress pings whoever is at an address, under any name.
+func (m *Member) pingAddress(now time.Duration, address Address) {
+	if address != m.own.Address {
+		m.send(now, address, Message{Kind: Ping, Seq: m.newRequest(now)})
 	}
 }
 
-// syncEvery periods the full state is exchanged with one other, for what news have missed; spread by chance over the fleet.
-// One that has begun does so sooner, after waits that double: where many begin together, news alone take a minute for 300.
-const syncEvery = 30
+// syncPeriods is the mean number of periods between exchanges of the full state with a random member (anti-entropy), which
+// repair what updates have missed. The times are randomized to spread the load over the fleet. After a start the wait
+// is one period and doubles up to this: where 300 instances start together, updates alone take a minute to make all known.
+const syncPeriods = 30
 
-func (m *Member) exchange(now time.Duration) {
-	wait := min(syncEvery, 1<<min(m.syncs, 5))
-	m.syncs++
-	m.sync = now + time.Duration((0.5+m.rng.Float64())*float64(wait)*float64(m.set.Period))
-	if some := m.some(now, 1, ""); len(some) > 0 {
-		m.host.Exchange(some[0].Address)
+func (m *Member) startSync(now time.Duration) {
+	periods := min(syncPeriods, 1<<min(m.syncCount, 5))
+	m.syncCount++
+	m.nextSync = now + time.Duration((0.5+m.rng.Float64())*float64(periods)*float64(m.settings.Period))
+	if picked := m.randomAlive(now, 1, ""); len(picked) > 0 {
+		m.host.ExchangeState(picked[0].Address)
 	}
 }
 
-// send adds what goes along.
+// send completes a message with updates, ages and payloads, and sends it.
 func (m *Member) send(now time.Duration, to Address, msg Message) {
 	if m.silent {
 		return
 	}
 	msg.From = m.own
-	msg.Misses = m.misses()
-	msg.News = append(msg.News, m.news(m.set.News-len(msg.News))...)
+	msg.Unreachable = m.unreachablePeers()
+	msg.Updates = append(msg.Updates, m.updates(m.settings.MaxUpdates-len(msg.Updates))...)
 	if msg.Kind == Ack || msg.Kind == Nack {
-		msg.Ages = m.tellAges(now, m.set.Ages)
+		msg.Ages = m.nextAges(now, m.settings.MaxAges)
 	}
 	if p := m.peers[msg.To]; p != nil && p.Status == Alive {
-		room := m.set.Room
-		for id := range 256 {
-			if cargo := m.set.Cargo[byte(id)]; cargo != nil {
-				if data := cargo.Pack(now, msg.To, room); len(data) > 0 && len(data) <= room {
-					msg.Parcels = append(msg.Parcels, Parcel{byte(id), data})
-					room -= len(data)
+		bytesLeft := m.settings.MaxPayloadBytes
+		for payloadType := range 256 {
+			if cargo := m.settings.Cargo[byte(payloadType)]; cargo != nil {
+				if data := cargo.Pack(now, msg.To, bytesLeft); len(data) > 0 && len(data) <= bytesLeft {
+					msg.Payloads = append(msg.Payloads, Payload{byte(payloadType), data})
+					bytesLeft -= len(data)
 				}
 			}
 		}
@@ -610,316 +635,322 @@
 	m.host.Send(to, msg)
 }
 
-// missAfter is how many probes without a direct answer make a link that is told of; mostMisses are told. One lost datagram
-// is usual, and who hears hardly anybody says so by its contact.
-const missAfter, mostMisses = 2, 16
+// unreachableAfter is how many probes in a row must go without a direct answer before a link is reported as broken; a single
+// lost datagram is usual. maxUnreachable limits the report; an instance that reaches hardly anybody says so by its Contact.
+const unreachableAfter, maxUnreachable = 2, 16
 
-func (m *Member) misses() (marks []uint32) {
+func (m *Member) unreachablePeers() (hashes []uint32) {
 	for _, name := range m.names {
-		if p := m.peers[name]; p.Status == Alive && p.missed >= missAfter && len(marks) < mostMisses {
-			marks = append(marks, p.mark)
+		if p := m.peers[name]; p.Status == Alive && p.missedProbes >= unreachableAfter && len(hashes) < maxUnreachable {
+			hashes = append(hashes, p.hash)
 		}
 	}
-	return marks
+	return hashes
 }
 
-// news are the records that have gone out least, up to a number of times that grows with the fleet, as rumours need to
-// reach all.
-func (m *Member) news(most int) (news []Record) {
-	times := int(4 * math.Ceil(math.Log2(float64(len(m.names)+2))))
-	var fresh []*peer
+// updates returns up to limit records to piggyback, the least often sent first. A record is sent a number of times that grows
+// with the logarithm of the fleet's size, which gossip needs to reach all members.
+func (m *Member) updates(limit int) (records []Record) {
+	maxSends := int(4 * math.Ceil(math.Log2(float64(len(m.names)+2))))
+	var pending []*peer
 	for _, name := range m.names {
-		if p := m.peers[name]; p.told < times && p.Status != Told {
-			fresh = append(fresh, p)
+		if p := m.peers[name]; p.timesSent < maxSends && p.Status != Unverified {
+			pending = append(pending, p)
 		}
 	}
-	slices.SortStableFunc(fresh, func(a, b *peer) int { return cmp.Compare(a.told, b.told) })
-	for _, p := range fresh[:min(len(fresh), most)] {
-		p.told++
-		news = append(news, p.Record)
+	slices.SortStableFunc(pending, func(a, b *peer) int { return cmp.Compare(a.timesSent, b.timesSent) })
+	for _, p := range pending[:min(len(pending), limit)] {
+		p.timesSent++
+		records = append(records, p.Record)
 	}
-	return news
+	return records
 }
 
-// tellAges goes through the members in turn.
-func (m *Member) tellAges(now time.Duration, most int) (ages []Age) {
+// nextAges returns up to limit ages, and goes on with the remaining members at the next call.
+func (m *Member) nextAges(now time.Duration, limit int) (ages []Age) {
 	for range m.names {
-		if len(ages) == most {
+		if len(ages) == limit {
 			break
 		}
-		if len(m.ages) == 0 {
-			// By chance: what does not fit a datagram is cut off, and must not be the same each time.
-			m.ages = slices.Clone(m.names)
-			m.rng.Shuffle(len(m.ages), func(a, b int) { m.ages[a], m.ages[b] = m.ages[b], m.ages[a] })
+		if len(m.ageRound) == 0 {
+			// Shuffled: ages that do not fit into a datagram are cut off, and these must not be of the same members each time.
+			m.ageRound = slices.Clone(m.names)
+			m.rng.Shuffle(len(m.ageRound), func(a, b int) { m.ageRound[a], m.ageRound[b] = m.ageRound[b], m.ageRound[a] })
 		}
-		p := m.peers[m.ages[0]]
-		if m.ages = m.ages[1:]; p != nil && p.left != never && p.Status <= Suspect {
-			ages = append(ages, Age{p.mark, now - p.left})
+		p := m.peers[m.ageRound[0]]
+		if m.ageRound = m.ageRound[1:]; p != nil && p.lastAlive != never && p.Status <= Suspect {
+			ages = append(ages, Age{p.hash, now - p.lastAlive})
 		}
 	}
 	return ages
 }
 
-// Heard is told of a message.
-func (m *Member) Heard(now time.Duration, from Address, msg Message) {
+// HandleMessage processes a message that has arrived.
+func (m *Member) HandleMessage(now time.Duration, from Address, msg Message) {
 	if m.silent || msg.From.Name == "" || msg.To != "" && msg.To != m.own.Name {
-		return // for whoever had this address before
+		return // sent to an instance that had this address before
 	}
 	if msg.From.Name == m.own.Name {
-		m.namesake(msg.From)
+		m.checkDisplaced(msg.From)
 		return
 	}
-	p := m.meet(now, msg.From)
+	p := m.findOrAdd(now, msg.From)
 	if p == nil {
-		return // no room
+		return // the member table is full
 	}
 	if msg.From.Life < p.Life {
-		// A process that is over, or one that does not know that another has its name, and that nobody speaks to any more.
+		// A late message of an earlier process under this name, or one that still runs and is to learn that it was replaced.
 		if msg.Kind == Ping && p.Status == Alive {
-			m.send(now, msg.From.Address, Message{Kind: Nack, Seq: msg.Seq, News: []Record{p.Record}})
+			m.send(now, msg.From.Address, Message{Kind: Nack, Seq: msg.Seq, Updates: []Record{p.Record}})
 		}
 		return
 	}
-	p.direct = now
-	m.refuted(now, p, msg.From)
-	base := never
+	p.lastReceived = now
+	m.applySelfReport(now, p, msg.From)
+	requestSentAt := never
 	if msg.Kind == Ack || msg.Kind == Nack {
-		if sent, known := m.asked[msg.Seq]; known {
-			base = sent
+		if sentAt, known := m.requestedAt[msg.Seq]; known {
+			requestSentAt = sentAt
 		}
 	}
-	m.learn(now, base, p, msg)
+	m.processPiggyback(now, requestSentAt, p, msg)
 	switch msg.Kind {
 	case Ping:
 		m.send(now, p.Address, Message{Kind: Ack, Seq: msg.Seq, To: p.Name})
-	case Ask:
-		m.favour(now, p, msg)
+	case PingReq:
+		m.relayPing(now, p, msg)
 	case Ack:
-		m.answered(now, p, msg, base)
+		m.handleAck(now, p, msg, requestSentAt)
 	case Nack:
 		if m.probe.seq == msg.Seq {
 			m.probe.nacks++
 		}
-	case Bye:
-		m.conclude(now, p, Left)
-	}
-	for _, parcel := range msg.Parcels {
-		if cargo := m.set.Cargo[parcel.Cargo]; cargo != nil {
-			age := time.Duration(-1)
-			if base != never {
-				age = now - base
+	case Leave:
+		m.setStatus(now, p, Left)
+	}
+	for _, payload := range msg.Payloads {
+		if cargo := m.settings.Cargo[payload.Type]; cargo != nil {
+			maxAge := time.Duration(-1)
+			if requestSentAt != never {
+				maxAge = now - requestSentAt
 			}
-			cargo.Unpack(now, p.Name, p.Life, age, parcel.Data)
+			cargo.Unpack(now, p.Name, p.Life, maxAge, payload.Data)
 		}
 	}
 }
 
-// learn takes what goes along with a message: news, and with an answer ages, which were true after the question left.
-func (m *Member) learn(now, base time.Duration, from *peer, msg Message) {
-	if base != never {
-		m.proven(now, from, base)
-		from.hears, from.missed = max(from.hears, base), 0
-		m.learnAges(now, base, msg.Ages)
+// processPiggyback takes the updates of a message. An answer to a known request is also a sign of life, and its ages, which were
+// correct when the answer was sent, are applied as of requestSentAt. requestSentAt is never for other messages.
+func (m *Member) processPiggyback(now, requestSentAt time.Duration, from *peer, msg Message) {
+	if requestSentAt != never {
+		m.recordAlive(now, from, requestSentAt)
+		from.heardUs, from.missedProbes = max(from.heardUs, requestSentAt), 0
+		m.applyAges(now, requestSentAt, msg.Ages)
 	}
-	from.misses = msg.Misses
-	for _, r := range msg.News {
-		m.toldOf(now, from.Name, r)
+	from.unreachable = msg.Unreachable
+	for _, r := range msg.Updates {
+		m.applyUpdate(now, from.Name, r)
 	}
 }
 
-func (m *Member) learnAges(now, base time.Duration, ages []Age) {
+func (m *Member) applyAges(now, requestSentAt time.Duration, ages []Age) {
 	if len(ages) == 0 {
 		return
 	}
-	byMark := make(map[uint32]*peer, len(m.peers))
+	byHash := make(map[uint32]*peer, len(m.peers))
 	for _, p := range m.peers {
-		if byMark[p.mark] != nil { // two of one mark: believed of neither
-			byMark[p.mark] = &peer{}
+		if byHash[p.hash] != nil { // hash collision: used for neither
+			byHash[p.hash] = &peer{}
 			continue
 		}
-		byMark[p.mark] = p
+		byHash[p.hash] = p
 	}
 	for _, a := range ages {
-		if p := byMark[a.Of]; p != nil && p.Name != "" && a.Old >= 0 {
-			m.proven(now, p, base-a.Old)
+		if p := byHash[a.Hash]; p != nil && p.Name != "" && a.Age >= 0 {
+			m.recordAlive(now, p, requestSentAt-a.Age)
 		}
 	}
 }
 
-// proven takes a word of a member that left it at a time or later.
-func (m *Member) proven(now time.Duration, p *peer, left time.Duration) {
-	if left <= p.left {
+// recordAlive records a sign of life that a member sent at sentAt or later. It ends a suspicion that began before.
+func (m *Member) recordAlive(now time.Duration, p *peer, sentAt time.Duration) {
+	if sentAt <= p.lastAlive {
 		return
 	}
-	p.left = left
+	p.lastAlive = sentAt
 	switch {
-	case p.Status == Told, p.Status == Suspect && left > p.since, p.Status == Gone && left > p.since:
-		m.conclude(now, p, Alive)
+	case p.Status == Unverified, p.Status == Suspect && sentAt > p.statusSince, p.Status == Gone && sentAt > p.statusSince:
+		m.setStatus(now, p, Alive)
 	}
 }
 
-// answered takes an answer to a question of this instance, or one that it asked for another.
-func (m *Member) answered(now time.Duration, p *peer, msg Message, base time.Duration) {
-	if f, is := m.favors[msg.Seq]; is && f.about.Name == p.Name {
-		delete(m.favors, msg.Seq)
-		m.send(now, f.asker, Message{Kind: Ack, Seq: f.seq, To: f.to, About: p.Record})
+// handleAck processes an answer to a request of this instance, and passes on the answer to a relayed ping. requestSentAt is when
+// the request was sent, or never if the request is not tracked any more.
+func (m *Member) handleAck(now time.Duration, p *peer, msg Message, requestSentAt time.Duration) {
+	if ping, found := m.relayed[msg.Seq]; found && ping.target.Name == p.Name {
+		delete(m.relayed, msg.Seq)
+		m.send(now, ping.requester, Message{Kind: Ack, Seq: ping.requestSeq, To: ping.requesterName, Target: p.Record})
 	}
-	if base == never {
+	if requestSentAt == never {
 		return
 	}
-	if about := m.peers[msg.About.Name]; about != nil && about.Life == msg.About.Life {
-		m.proven(now, about, base) // it answered a helper that was asked after the question left
+	if target := m.peers[msg.Target.Name]; target != nil && target.Life == msg.Target.Life {
+		m.recordAlive(now, target, requestSentAt) // it answered the helper, which was asked after the request was sent
 	}
-	if q := &m.probe; q.seq == msg.Seq && !q.done && (p.Name == q.who || msg.About.Name == q.who) {
-		q.done = true
-		m.feel(-1)
+	if current := &m.probe; current.seq == msg.Seq && !current.done && (p.Name == current.target || msg.Target.Name == current.target) {
+		current.done = true
+		m.adjustHealth(-1)
 	}
 }
 
-// mostFavours that are under way at once, for whoever asks.
-const mostFavours = 64
+// maxRelayedPings limits the pings under way at once on behalf of others, whoever asks.
+const maxRelayedPings = 64
 
-// favour probes one for another. A helper that can't says no before the asker has given up.
-func (m *Member) favour(now time.Duration, p *peer, msg Message) {
-	if len(m.favors) >= mostFavours || msg.About.Name == m.own.Name {
+// relayPing pings the target of a PingReq. If the target does not answer, a Nack is sent before the requester's timeout.
+func (m *Member) relayPing(now time.Duration, requester *peer, msg Message) {
+	if len(m.relayed) >= maxRelayedPings || msg.Target.Name == m.own.Name {
 		return
 	}
-	seq := m.question(now)
-	m.favors[seq] = favour{p.Address, p.Name, msg.Seq, msg.About, now + m.set.Answer*4/5}
-	m.send(now, msg.About.Address, Message{Kind: Ping, Seq: seq, To: msg.About.Name})
-	if at := now + m.set.Answer*4/5; at < m.due {
-		m.wake(at)
+	seq := m.newRequest(now)
+	m.relayed[seq] = relayedPing{requester.Address, requester.Name, msg.Seq, msg.Target, now + m.settings.AckTimeout*4/5}
+	m.send(now, msg.Target.Address, Message{Kind: Ping, Seq: seq, To: msg.Target.Name})
+	if deadline := now + m.settings.AckTimeout*4/5; deadline < m.nextTick {
+		m.wakeAt(deadline)
 	}
 }
 
-// meet finds a member, or takes it in while there is room; a newer life of one takes the place of the older.
-func (m *Member) meet(now time.Duration, r Record) *peer {
+// findOrAdd returns the peer of a record. It adds one that is not known, and replaces an earlier life by a later one. It
+// returns nil if the table is full of members that cannot be evicted.
+func (m *Member) findOrAdd(now time.Duration, r Record) *peer {
 	p := m.peers[r.Name]
 	if p != nil && r.Life <= p.Life {
 		return p
 	}
 	if p == nil {
-		if len(m.peers) >= m.set.Most && !m.makeRoom() {
+		if len(m.peers) >= m.settings.MaxMembers && !m.evict() {
 			return nil
 		}
-		at, _ := slices.BinarySearch(m.names, r.Name)
-		m.names = slices.Insert(m.names, at, r.Name)
-		// In the round that is under way at a place by chance, or newcomers would be probed last in it.
-		at = m.rng.Intn(len(m.round) + 1)
-		m.round = slices.Insert(m.round, at, r.Name)
-	}
-	r.Status, r.By = Told, ""
-	p = &peer{Record: r, mark: mark(r), left: never, hears: never, direct: never, since: now}
+		i, _ := slices.BinarySearch(m.names, r.Name)
+		m.names = slices.Insert(m.names, i, r.Name)
+		// At a random position of the current round, or new members would always be probed last.
+		i = m.rng.Intn(len(m.probeRound) + 1)
+		m.probeRound = slices.Insert(m.probeRound, i, r.Name)
+	}
+	r.Status, r.By = Unverified, ""
+	p = &peer{Record: r, hash: memberHash(r), lastAlive: never, heardUs: never, lastReceived: never, statusSince: now}
 	m.peers[r.Name] = p
 	return p
 }
 
-// makeRoom forgets one that was only told of, or one that is gone for longest.
-func (m *Member) makeRoom() bool {
+// evict removes an unverified member that has sent nothing here, or else the one that has been gone or left for longest. It
+// reports whether there was one.
+func (m *Member) evict() bool {
 	var oldest *peer
 	for _, name := range m.names {
 		p := m.peers[name]
-		if p.Status == Told && p.direct == never {
-			m.forget(p)
+		if p.Status == Unverified && p.lastReceived == never {
+			m.remove(p)
 			return true
 		}
-		if p.Status >= Gone && (oldest == nil || p.since < oldest.since) {
+		if p.Status >= Gone && (oldest == nil || p.statusSince < oldest.statusSince) {
 			oldest = p
 		}
 	}
 	if oldest != nil {
-		m.forget(oldest)
+		m.remove(oldest)
 	}
 	return oldest != nil
 }
 
-// refuted takes what a member says of itself.
-func (m *Member) refuted(now time.Duration, p *peer, r Record) {
+// applySelfReport applies what a member says about itself. A higher incarnation number refutes a suspicion.
+func (m *Member) applySelfReport(now time.Duration, p *peer, r Record) {
 	p.Address = r.Address
 	if r.Turn > p.Turn {
 		p.Turn = r.Turn
 		if p.Status == Suspect || p.Status == Gone {
-			m.conclude(now, p, Alive)
+			m.setStatus(now, p, Alive)
 		}
 	}
 }
 
-// toldOf takes what another says of a member.
-func (m *Member) toldOf(now time.Duration, by Name, r Record) {
+// applyUpdate applies a record that sender has sent of a member.
+func (m *Member) applyUpdate(now time.Duration, sender Name, r Record) {
 	if r.Name == m.own.Name {
-		m.toldOfMe(r)
+		m.applyUpdateOnSelf(r)
 		return
 	}
 	known := m.peers[r.Name] != nil
 	if !known && r.Status >= Gone {
-		return // no news to whom it was never there
+		return // a member that has never been known here need not be added to be declared gone
 	}
-	p := m.meet(now, r)
+	p := m.findOrAdd(now, r)
 	if p == nil || r.Life < p.Life {
 		return
 	}
 	switch {
-	case r.Turn > p.Turn && r.Status <= Alive: // it has refuted
-		m.refuted(now, p, r)
+	case r.Turn > p.Turn && r.Status <= Alive: // the member has refuted a suspicion
+		m.applySelfReport(now, p, r)
 	case r.Status >= Suspect && r.Turn >= p.Turn && p.Status != Gone && p.Status != Left:
-		// An accusation counts only where nothing newer is known: whoever hears a member can't be told that it is gone.
-		if now-p.left > m.freshFor() {
+		// An accusation counts only without a recent sign of life: an instance that hears a member cannot be talked into
+		// declaring it gone.
+		if now-p.lastAlive > m.accusationImmunity() {
 			p.Turn = r.Turn
-			m.suspect(now, p, cmp.Or(r.By, by))
+			m.suspect(now, p, cmp.Or(r.By, sender))
 		}
 	}
 }
 
-// freshFor is how old a word may be for an accusation to be passed over.
-func (m *Member) freshFor() time.Duration { return 3 * m.set.Period }
+// accusationImmunity is up to which age a sign of life makes accusations by others ignored.
+func (m *Member) accusationImmunity() time.Duration { return 3 * m.settings.Period }
 
-// toldOfMe refutes.
-func (m *Member) toldOfMe(r Record) {
+// applyUpdateOnSelf refutes an accusation against this instance by raising its incarnation number above that of the accusation.
+func (m *Member) applyUpdateOnSelf(r Record) {
 	switch {
 	case r.Life > m.own.Life:
-		m.namesake(r)
+		m.checkDisplaced(r)
 	case r.Life == m.own.Life && r.Status >= Suspect && r.Turn >= m.own.Turn:
 		m.own.Turn = r.Turn + 1
-		m.feel(1)
+		m.adjustHealth(1)
 	}
 }
 
-// namesake guards against two instances under one name: the later one stays.
-func (m *Member) namesake(r Record) {
+// checkDisplaced resolves two instances under one name: the one that started later stays, the earlier one falls silent.
+func (m *Member) checkDisplaced(r Record) {
 	if r.Life > m.own.Life && !m.silent {
 		m.silent = true
 		m.host.Displaced(r)
 	}
 }
 
-// State is all records and ages, for an exchange.
-func (m *Member) State(now time.Duration) (from Record, all []Record, ages []Age) {
+// State returns the own record, the records of all members except unverified ones, and all known ages, for an exchange of the
+// full state.
+func (m *Member) State(now time.Duration) (from Record, records []Record, ages []Age) {
 	for _, name := range m.names {
-		if p := m.peers[name]; p.Status != Told {
-			all = append(all, p.Record)
+		if p := m.peers[name]; p.Status != Unverified {
+			records = append(records, p.Record)
 		}
 	}
-	return m.own, all, m.tellAges(now, len(m.names))
+	return m.own, records, m.nextAges(now, len(m.names))
 }
 
-// Synced is told of the state of another. asked is when it was asked for, or below 0 where it came unasked: then its ages
-// prove nothing.
-func (m *Member) Synced(now, asked time.Duration, from Record, all []Record, ages []Age) {
+// HandleState processes the full state of another member. requestedAt is when it was requested, or negative for a state that
+// came unrequested, whose ages are not used, as nothing bounds its time in transit.
+func (m *Member) HandleState(now, requestedAt time.Duration, from Record, records []Record, ages []Age) {
 	if m.silent || from.Name == m.own.Name || from.Name == "" {
 		return
 	}
-	p := m.meet(now, from)
+	p := m.findOrAdd(now, from)
 	if p == nil || from.Life < p.Life {
 		return
 	}
-	p.direct = now
-	m.refuted(now, p, from)
-	for _, r := range all[:min(len(all), m.set.Most)] {
-		m.toldOf(now, from.Name, r)
+	p.lastReceived = now
+	m.applySelfReport(now, p, from)
+	for _, r := range records[:min(len(records), m.settings.MaxMembers)] {
+		m.applyUpdate(now, from.Name, r)
 	}
-	if asked >= 0 {
-		m.proven(now, p, asked)
-		p.hears = max(p.hears, asked)
-		m.learnAges(now, asked, ages)
+	if requestedAt >= 0 {
+		m.recordAlive(now, p, requestedAt)
+		p.heardUs = max(p.heardUs, requestedAt)
+		m.applyAges(now, requestedAt, ages)
 	}
 }
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -11,11 +11,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the traces anew, to be read before they are kept")
+var update = flag.Bool("update", false, "rewrite the expected traces in testdata; review them before they are committed")
 
 const second = time.Second
 
-func (w *world) keep() {
+// checkTrace compares the trace with the expected one in testdata.
+func (w *world) checkTrace() {
 	w.t.Helper()
 	file := filepath.Join("testdata", w.t.Name()+".txt")
 	if *update {
@@ -28,79 +29,81 @@
 		w.t.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(w.trace.String(), "\n")); diff != "" {
-		w.t.Error("decisions differ (-kept +now):\n" + diff)
+		w.t.Error("decisions differ (-expected +actual):\n" + diff)
 	}
 }
 
-// formed starts so many and lets them find each other.
-func formed(t *testing.T, many int, seed int64) *world {
+// formedWorld starts a fleet and runs it until all instances know each other.
+func formedWorld(t *testing.T, size int, seed int64) *world {
 	t.Helper()
-	w := newWorld(t, many, seed)
+	w := newWorld(t, size, seed)
 	w.until(30*second, func() bool { return w.now > 2*second && w.allKnow() == nil })
 	return w
 }
 
-// TestKilled: one of five is killed, and the four say so; it comes back as a new life, and they say that.
+// TestKilled kills one of five instances and starts it again later: the others must declare it gone, and then have its new life as
+// alive. The trace of all decisions must equal the expected one.
 func TestKilled(t *testing.T) {
 	w := newWorld(t, 5, 1)
-	w.told = true
+	w.traced = true
 	w.run(10 * second)
-	w.all[3].kill()
+	w.instances[3].kill()
 	w.run(35 * second)
-	w.all[3].start()
+	w.instances[3].start()
 	w.run(45 * second)
-	w.keep()
+	w.checkTrace()
 	if err := w.allKnow(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestSplits: in two and three, even and uneven, for 1, 10 and 60 s: nobody is accused of what lies within a side, the
-// smaller sides say that they are only partly in contact, a single one that it is deaf, and all heals by itself.
+// TestSplits partitions a fleet into two or three parts for 1, 10 and 60 s. No instance may declare a member of its own part gone;
+// a part of at least two thirds must report Connected, and a single instance Deaf; and after the repair the fleet must become
+// whole by itself.
 func TestSplits(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		parts [][]int
 	}{
-		{"halves", [][]int{span(0, 10), span(10, 20)}},
-		{"three", [][]int{span(0, 10), span(10, 16), span(16, 20)}},
-		{"one", [][]int{span(0, 19), span(19, 20)}},
+		{"halves", [][]int{indexRange(0, 10), indexRange(10, 20)}},
+		{"three", [][]int{indexRange(0, 10), indexRange(10, 16), indexRange(16, 20)}},
+		{"one", [][]int{indexRange(0, 19), indexRange(19, 20)}},
 	} {
 		for _, length := range []time.Duration{second, 10 * second, 60 * second} {
-			w := formed(t, 20, 3)
-			w.sides(c.parts...)
+			w := formedWorld(t, 20, 3)
+			w.partition(c.parts...)
 			w.run(w.now + length)
 			for _, part := range c.parts {
 				for _, a := range part {
 					for _, b := range part {
-						if _, gone := w.all[a].gone[nameOf(b)]; gone {
-							t.Errorf("%s, %v: %d holds %d of its own side for gone", c.name, length, a, b)
+						if _, gone := w.instances[a].gone[nameOf(b)]; gone {
+							t.Errorf("%s, %v: %d has declared %d of its own part gone", c.name, length, a, b)
 						}
 					}
 				}
 				if length < 60*second {
 					continue
 				}
-				count, want := w.contacts(part), Partly
-				if 3*len(part) >= 2*len(w.all) {
+				count, want := w.contacts(part), Partial
+				if 3*len(part) >= 2*len(w.instances) {
 					want = Connected
 				} else if len(part) == 1 {
 					want = Deaf
 				}
-				// Those that were cut off are counted for a minute after they are gone.
-				if count[want] != len(part) && want != Partly {
-					t.Errorf("%s, %v: a side of %d says %v", c.name, length, len(part), count)
+				// Other parts are not checked: members of the far side still count in Contact for a minute after they are gone.
+				if count[want] != len(part) && want != Partial {
+					t.Errorf("%s, %v: a part of %d reports %v", c.name, length, len(part), count)
 				}
 			}
-			w.whole()
+			w.repairLinks()
 			took := w.until(120*second, func() bool { return w.allKnow() == nil })
 			t.Logf("%s, %v: healed after %v", c.name, length, took)
 		}
 	}
 }
 
-// TestOneWay: one that hears all and is heard by none says that it is mute, one that is heard and hears none that it is
-// deaf; neither holds anybody for gone.
+// TestOneWay cuts all links of one instance in one direction. An instance that no other hears must report Mute, one that hears no
+// other Deaf, and neither may declare a member gone.
 func TestOneWay(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -110,208 +113,214 @@
 		{"not heard", func(from, to int) bool { return from == 7 }, Mute},
 		{"not hearing", func(from, to int) bool { return to == 7 }, Deaf},
 	} {
-		w := formed(t, 12, 5)
+		w := formedWorld(t, 12, 5)
 		w.cut = c.cut
-		w.run(w.now + (DeafAfter+3)*second)
+		w.run(w.now + (DeafAfterPeriods+3)*second)
 		if count := w.contacts([]int{7}); count[c.want] != 1 {
 			t.Errorf("%s: %v", c.name, count)
 		}
 		w.run(w.now + 60*second)
-		if len(w.all[7].gone) > 0 {
-			t.Errorf("%s: it holds for gone %v", c.name, w.all[7].gone)
+		if len(w.instances[7].gone) > 0 {
+			t.Errorf("%s: it has declared members gone: %v", c.name, w.instances[7].gone)
 		}
-		w.whole()
+		w.repairLinks()
 		w.until(120*second, func() bool { return w.allKnow() == nil })
 	}
 }
 
-// TestChain: each hears only its neighbours, and nobody is declared gone: words go round.
+// TestChain arranges a fleet as a chain in which each instance reaches only its neighbours: nobody may be declared gone, as signs of
+// life are passed on. With a single cut link, all instances must know that link as broken, and no other, and forget it once it
+// is repaired.
 func TestChain(t *testing.T) {
 	for seed := range int64(10) {
-		w := formed(t, 6, seed)
+		w := formedWorld(t, 6, seed)
 		w.cut = func(from, to int) bool { return from-to > 1 || to-from > 1 }
 		w.run(w.now + 120*second)
-		for _, i := range w.all {
+		for _, i := range w.instances {
 			if len(i.gone) > 0 {
-				t.Errorf("seed %d: %d holds for gone %v", seed, i.n, i.gone)
+				t.Errorf("seed %d: %d has declared members gone: %v", seed, i.index, i.gone)
 			}
 		}
 	}
-	w := formed(t, 12, 8)
+	w := formedWorld(t, 12, 8)
 	w.cut = func(from, to int) bool { return from == 3 && to == 9 || from == 9 && to == 3 }
 	w.run(w.now + 120*second)
 	if w.statuses(3)[Alive] != 11 || w.statuses(9)[Alive] != 11 {
-		t.Error("a single link: ", w.statuses(3), w.statuses(9))
+		t.Error("members declared not alive because of a single cut link: ", w.statuses(3), w.statuses(9))
 	}
-	// And all that heard of it lately can name the link, and no other.
-	for _, i := range w.all {
-		for _, link := range i.member.Missed() {
-			if link != (Missing{nameOf(3), nameOf(9)}) && link != (Missing{nameOf(9), nameOf(3)}) {
-				t.Errorf("%d says that %v does not carry", i.n, link)
+	// All instances know of the broken link, and of no other.
+	for _, i := range w.instances {
+		for _, link := range i.member.BrokenLinks() {
+			if link != (BrokenLink{nameOf(3), nameOf(9)}) && link != (BrokenLink{nameOf(9), nameOf(3)}) {
+				t.Errorf("%d says that %v does not carry", i.index, link)
 			}
 		}
 		want := 2
-		if i.n == 3 || i.n == 9 { // who is not told by the other
+		if i.index == 3 || i.index == 9 { // it gets no report from the other end
 			want = 1
 		}
-		if n := len(i.member.Missed()); n != want {
-			t.Errorf("%d knows %d ways that don't carry", i.n, n)
+		if n := len(i.member.BrokenLinks()); n != want {
+			t.Errorf("%d knows %d broken links", i.index, n)
 		}
 	}
-	w.whole()
+	w.repairLinks()
 	w.run(w.now + 60*second)
-	for _, i := range w.all {
-		if links := i.member.Missed(); len(links) > 0 {
-			t.Errorf("%d says that %v does not carry", i.n, links)
+	for _, i := range w.instances {
+		if links := i.member.BrokenLinks(); len(links) > 0 {
+			t.Errorf("%d says that %v does not carry", i.index, links)
 		}
 	}
 }
 
-// TestBad: three in ten messages lost, doubled, late by up to 2 s and out of order, for two minutes: nobody is gone.
+// TestBad loses 30% of the messages and duplicates 20% for two minutes, then delays and reorders them by up to 2 s for one minute:
+// nobody may be declared gone.
 func TestBad(t *testing.T) {
-	w := formed(t, 20, 11)
-	w.loss, w.double = 0.3, 0.2
+	w := formedWorld(t, 20, 11)
+	w.loss, w.duplication = 0.3, 0.2
 	wrong := 0
 	for range 120 {
 		w.run(w.now + second)
-		for _, i := range w.all {
+		for _, i := range w.instances {
 			wrong += len(i.gone)
 		}
 	}
 	if wrong > 0 {
-		t.Errorf("30%% loss: held for gone %d member seconds", wrong)
+		t.Errorf("30%% loss: running members were declared gone for %d member seconds", wrong)
 	}
 	w.loss = 0
 	w.delay = func() time.Duration { return time.Duration(w.rng.Int63n(int64(2 * second))) }
 	w.run(w.now + 60*second)
-	for _, i := range w.all {
+	for _, i := range w.instances {
 		if len(i.gone) > 0 {
-			t.Errorf("delays: %d holds for gone %v", i.n, i.gone)
+			t.Errorf("delays: %d has declared members gone: %v", i.index, i.gone)
 		}
 	}
 }
 
-// TestStopped: one that stood still for 10 s accuses nobody, and knows on waking that what it knows is old.
+// TestStopped pauses an instance for 3 to 30 s, as SIGSTOP does. On resuming, it must know that its information is old, and it must
+// accuse nobody, even if the messages that arrived during the pause were lost.
 func TestStopped(t *testing.T) {
-	w := formed(t, 20, 13)
+	w := formedWorld(t, 20, 13)
 	for n, length := range []time.Duration{3 * second, 10 * second, 30 * second, 3 * second, 4 * second, 5 * second, 10 * second, 30 * second} {
-		if n > 2 { // what came meanwhile is lost, as there was no room for it
-			w.buffer = 0
+		if n > 2 { // messages that arrive during the pause are lost
+			w.pausedBuffer = 0
 			w.run(w.now + time.Duration(n)*170*time.Millisecond)
 		}
-		w.all[4].stop()
+		w.instances[4].pause()
 		w.run(w.now + length)
-		for _, one := range w.all[4].member.Members(w.all[4].clock()) { // before it has heard anything
-			if one.Age < length {
-				t.Fatalf("%v old after %v", one.Age, length)
+		for _, info := range w.instances[4].member.Members(w.instances[4].clock()) { // before it has received anything
+			if info.Age < length {
+				t.Fatalf("age is %v after a pause of %v", info.Age, length)
 			}
 		}
-		if c, _ := w.all[4].member.Contact(w.all[4].clock()); length > DeafAfter*second && c != Deaf {
-			t.Errorf("after %v it says %v", length, c)
+		if c, _ := w.instances[4].member.Contact(w.instances[4].clock()); length > DeafAfterPeriods*second && c != Deaf {
+			t.Errorf("after a pause of %v it reports %v", length, c)
 		}
-		w.all[4].suspected = 0
-		w.all[4].goOn()
+		w.instances[4].suspectedCount = 0
+		w.instances[4].resume()
 		w.run(w.now + 20*second)
-		if len(w.all[4].gone) > 0 || w.all[4].suspected > 0 {
-			t.Errorf("after %v it holds for gone %v, and suspected %d", length, w.all[4].gone, w.all[4].suspected)
+		if len(w.instances[4].gone) > 0 || w.instances[4].suspectedCount > 0 {
+			t.Errorf("after a pause of %v it has declared members gone: %v, and suspected %d", length, w.instances[4].gone, w.instances[4].suspectedCount)
 		}
 		w.until(60*second, func() bool { return w.allKnow() == nil })
 	}
 }
 
-// TestStoppedInDoubt: one that stands still while it suspects another, and while that is heard again, does not declare it
-// gone on waking: it could not hear what would have excused it.
+// TestStoppedInDoubt pauses an instance while it suspects a member, until after the suspicion would have timed out. Meanwhile the
+// member becomes reachable again. On resuming, the instance must not declare it gone, as it could not receive its signs of life.
 func TestStoppedInDoubt(t *testing.T) {
 	for seed := range int64(20) {
-		w := formed(t, 20, seed)
+		w := formedWorld(t, 20, seed)
 		w.cut = func(from, to int) bool { return from == 7 || to == 7 }
-		i := w.all[4]
+		i := w.instances[4]
 		w.until(30*second, func() bool { return i.member.peers[nameOf(7)].Status == Suspect })
 		w.run(w.now + 2*second)
 		if i.member.peers[nameOf(7)].Status != Suspect {
 			continue
 		}
-		w.buffer = 0
-		i.stop()
-		w.whole()
-		w.run(i.member.peers[nameOf(7)].deadline - i.skew + second)
+		w.pausedBuffer = 0
+		i.pause()
+		w.repairLinks()
+		w.run(i.member.peers[nameOf(7)].suspicionDeadline - i.skew + second)
 		declared := len(i.gone)
-		i.goOn()
+		i.resume()
 		w.run(w.now + 20*second)
 		if len(i.gone) > 0 || declared > 0 || i.member.peers[nameOf(7)].Status != Alive {
-			t.Errorf("seed %d: it declares gone %v", seed, i.gone)
+			t.Errorf("seed %d: it has declared members gone: %v", seed, i.gone)
 		}
-		if i.wronged > 0 {
-			t.Errorf("seed %d: it declared gone one that the others heard", seed)
+		if i.wrongGoneCount > 0 {
+			t.Errorf("seed %d: it declared a member gone that was reachable", seed)
 		}
 	}
 }
 
-// TestHalf: half are killed at once, the others say so in time; back at once, all know.
+// TestHalf kills half of a fleet at once and starts it again at once, then does a rolling restart while one instance crashes every
+// second. Each time all must agree within a minute on who is alive.
 func TestHalf(t *testing.T) {
-	w := formed(t, 40, 17)
+	w := formedWorld(t, 40, 17)
 	for n := 20; n < 40; n++ {
-		w.all[n].kill()
+		w.instances[n].kill()
 	}
-	t.Log("half are known to be gone after ", w.until(60*second, func() bool { return w.allKnow() == nil }))
+	t.Log("failure of half of the fleet known after ", w.until(60*second, func() bool { return w.allKnow() == nil }))
 	for n := 20; n < 40; n++ {
-		w.all[n].start()
+		w.instances[n].start()
 	}
-	t.Log("known to be back after ", w.until(60*second, func() bool { return w.allKnow() == nil }))
-	for turn := range 10 { // one that crashes every second, and the others by tenths
-		w.all[1].kill()
-		w.all[1].start()
-		for n := turn * 4; n < turn*4+4; n++ {
-			w.all[n].kill()
-			w.all[n].start()
+	t.Log("return of half of the fleet known after ", w.until(60*second, func() bool { return w.allKnow() == nil }))
+	for step := range 10 { // rolling restart of a tenth per second; instance 1 crashes every second
+		w.instances[1].kill()
+		w.instances[1].start()
+		for n := step * 4; n < step*4+4; n++ {
+			w.instances[n].kill()
+			w.instances[n].start()
 		}
 		w.run(w.now + second)
 	}
-	t.Log("after a rolling restart: ", w.until(60*second, func() bool { return w.allKnow() == nil }))
+	t.Log("all known after a rolling restart, within ", w.until(60*second, func() bool { return w.allKnow() == nil }))
 }
 
-// TestLeave: one that leaves is not accused.
+// TestLeave has an instance leave: after 10 s at least 8 of the 11 others must have it as Left; the rest may suspect it or have declared
+// it gone.
 func TestLeave(t *testing.T) {
-	w := formed(t, 12, 19)
-	w.all[5].member.Leave(w.all[5].clock())
-	w.all[5].kill()
+	w := formedWorld(t, 12, 19)
+	w.instances[5].member.Leave(w.instances[5].clock())
+	w.instances[5].kill()
 	w.run(w.now + 10*second)
 	if s := w.statuses(5); s[Left]+s[Suspect]+s[Gone] != 11 || s[Left] < 8 {
 		t.Error(s)
 	}
 }
 
-// TestNamesake: two under one name: the earlier falls silent and says so.
+// TestNamesake starts a second instance under a name in use: the one with the earlier life must report that it was displaced.
 func TestNamesake(t *testing.T) {
-	w := formed(t, 6, 23)
-	twin := &instance{world: w, n: 2, life: 100, gone: map[Name]time.Duration{}}
-	w.all = append(w.all, twin)
-	w.byAddr["twin"] = twin
-	twin.up = true
+	w := formedWorld(t, 6, 23)
+	twin := &instance{world: w, index: 2, life: 100, gone: map[Name]time.Duration{}}
+	w.instances = append(w.instances, twin)
+	w.byAddress["twin"] = twin
+	twin.running = true
 	twin.member = New(twin, Settings{Name: nameOf(2), Address: "twin", Life: 101, Seeds: []Address{"i000"}}, 1)
 	twin.life = 101
-	twin.member.Begin(twin.clock())
+	twin.member.Start(twin.clock())
 	w.run(w.now + 30*second)
-	if !w.all[2].displaced || twin.displaced {
-		t.Error(w.all[2].displaced, twin.displaced)
+	if !w.instances[2].displaced || twin.displaced {
+		t.Error(w.instances[2].displaced, twin.displaced)
 	}
 }
 
-// TestLiar: one that says of all others that they are gone, that some are there which are not, and replays: nobody that
-// others hear is declared gone, and no more is kept than there is room for.
+// TestLiar has an instance report for 30 s that all others are gone, and that many made-up members are alive. No reachable member
+// may be declared gone, the number of members kept stays limited, and members are suspected less than 0.8% of the time.
 func TestLiar(t *testing.T) {
-	w := formed(t, 10, 29)
-	liar := w.all[9]
+	w := formedWorld(t, 10, 29)
+	liar := w.instances[9]
 	suspected, pairs := 0, 0
 	for round := range 300 {
 		w.at(w.now+time.Duration(round)*100*time.Millisecond, func() {
 			for n := range 9 {
 				msg := Message{Kind: Ping, Seq: 1, From: liar.member.own, To: nameOf(n)}
 				for other := range 9 {
-					msg.News = append(msg.News, Record{Name: nameOf(other), Address: Address(nameOf(other)), Life: 1, Turn: 1000, Status: Gone, By: nameOf(8)})
+					msg.Updates = append(msg.Updates, Record{Name: nameOf(other), Address: Address(nameOf(other)), Life: 1, Turn: 1000, Status: Gone, By: nameOf(8)})
 				}
 				for k := range 20 {
-					msg.News = append(msg.News, Record{Name: Name(strings.Repeat("x", 1+k)) + nameOf(round), Address: "nowhere", Life: 1, Status: Alive})
+					msg.Updates = append(msg.Updates, Record{Name: Name(strings.Repeat("x", 1+k)) + nameOf(round), Address: "nowhere", Life: 1, Status: Alive})
 				}
 				liar.Send(Address(nameOf(n)), msg)
 			}
@@ -321,12 +330,12 @@
 		w.run(w.now + second)
 		for n := range 9 {
 			for m := range 9 {
-				if _, gone := w.all[n].gone[nameOf(m)]; gone {
-					t.Fatalf("%d holds %d for gone", n, m)
+				if _, gone := w.instances[n].gone[nameOf(m)]; gone {
+					t.Fatalf("%d has declared %d gone", n, m)
 				}
 			}
 			for m := range 9 {
-				if p := w.all[n].member.peers[nameOf(m)]; p != nil && m != n {
+				if p := w.instances[n].member.peers[nameOf(m)]; p != nil && m != n {
 					if pairs++; p.Status == Suspect {
 						suspected++
 					}
@@ -335,36 +344,37 @@
 		}
 	}
 	if share := float64(suspected) / float64(pairs); share > 0.008 {
-		t.Errorf("suspected %.3f of the time", share)
+		t.Errorf("members were suspected %.3f of the time, more than allowed", share)
 	} else {
-		t.Logf("suspected %.4f of the time", share)
+		t.Logf("members were suspected %.4f of the time", share)
 	}
 }
 
-// TestBadLarge: a hundred do so too, for whom not all ages fit an answer.
+// TestBadLarge loses 30% of the messages of a fleet of 100, which is too large for the ages of all members to fit into an answer: no
+// reachable member may be declared gone.
 func TestBadLarge(t *testing.T) {
 	w := newWorld(t, 100, 5)
-	w.quiet = true
+	w.unchecked = true
 	w.run(40 * second)
 	w.loss = 0.3
 	w.run(w.now + 40*second)
-	for _, i := range w.all {
-		if i.wronged > 0 {
-			t.Errorf("%d declared %d gone", i.n, i.wronged)
+	for _, i := range w.instances {
+		if i.wrongGoneCount > 0 {
+			t.Errorf("%d declared %d gone", i.index, i.wrongGoneCount)
 		}
 	}
 }
 
-// TestBadSmall: fifty fleets of eight lose three messages in ten for 40 s, and nobody is declared gone: fewer than twenty
-// leave each instance fewer others to hear of a member from.
+// TestBadSmall loses 30% of the messages of fifty fleets of eight for 40 s: no reachable member may be declared gone. In such a small
+// fleet each instance has fewer others through which it can hear of a member.
 func TestBadSmall(t *testing.T) {
 	for seed := range int64(50) {
-		w := formed(t, 8, seed)
-		w.loss, w.double = 0.3, 0.1
+		w := formedWorld(t, 8, seed)
+		w.loss, w.duplication = 0.3, 0.1
 		w.run(w.now + 40*second)
-		for _, i := range w.all {
-			if i.wronged > 0 {
-				t.Errorf("seed %d: %d declared %d gone", seed, i.n, i.wronged)
+		for _, i := range w.instances {
+			if i.wrongGoneCount > 0 {
+				t.Errorf("seed %d: %d declared %d gone", seed, i.index, i.wrongGoneCount)
 			}
 		}
 	}
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -5,115 +5,117 @@
 	"time"
 )
 
-// DeafAfter is in how many periods without an answer an instance says that it is deaf or mute. Each period asks one member,
-// and others on its behalf: with three messages in ten lost seven in ten periods have an answer.
-const DeafAfter = 5
+// DeafAfterPeriods is after how many periods without an answer an instance reports itself Deaf or Mute. In each period it
+// probes one member, directly and through helpers: with 30% of the messages lost, 70% of the periods have an answer.
+const DeafAfterPeriods = 5
 
-// lossSpan is how long members that are gone count against contact: one that lost half of its fleet a minute ago may be on
-// the smaller side of a split.
-const lossSpan = time.Minute
+// goneCountedFor is how long members that are gone still count as not fresh in Contact: an instance that lost half of its
+// fleet less than a minute ago may be on the smaller side of a network partition.
+const goneCountedFor = time.Minute
 
-// FreshWithin is the age up to which a word counts as fresh: what words take to go round the fleet, some periods and as many
-// answers as it takes to tell all ages, twice.
-func (m *Member) FreshWithin() time.Duration {
-	rounds := 6 + 2*math.Ceil(float64(len(m.names))/float64(m.set.Ages))
-	return time.Duration(rounds) * m.set.Period
+// MaxFreshAge is the age up to which a sign of life counts as fresh. It is the time that a sign of life takes to reach the
+// whole fleet: some periods, plus twice as many as there are answers needed to report the ages of all members.
+func (m *Member) MaxFreshAge() time.Duration {
+	rounds := 6 + 2*math.Ceil(float64(len(m.names))/float64(m.settings.MaxAges))
+	return time.Duration(rounds) * m.settings.Period
 }
 
-// contactNow works out the verdict on this instance itself.
-func (m *Member) contactNow(now time.Duration) Contact {
+// computeContact derives the contact of this instance from how recently messages and answers of the others came.
+func (m *Member) computeContact(now time.Duration) Contact {
 	counted, fresh := 0, 0
-	newest, direct := never, never
+	newestAnswer, newestMessage := never, never
 	for _, name := range m.names {
 		p := m.peers[name]
-		newest, direct = max(newest, p.hears), max(direct, p.direct)
-		if p.Status == Alive || p.Status == Suspect || p.Status == Gone && now-p.since < lossSpan {
+		newestAnswer, newestMessage = max(newestAnswer, p.heardUs), max(newestMessage, p.lastReceived)
+		if p.Status == Alive || p.Status == Suspect || p.Status == Gone && now-p.statusSince < goneCountedFor {
 			counted++
-			if now-p.left <= m.FreshWithin() {
+			if now-p.lastAlive <= m.MaxFreshAge() {
 				fresh++
 			}
 		}
 	}
-	limit := DeafAfter * m.set.Period
+	limit := DeafAfterPeriods * m.settings.Period
 	switch {
 	case counted == 0:
 		return Alone
-	case now-newest > limit && now-direct > limit:
+	case now-newestAnswer > limit && now-newestMessage > limit:
 		return Deaf
-	case now-newest > limit:
+	case now-newestAnswer > limit:
 		return Mute
 	case 3*fresh < 2*counted:
-		return Partly
+		return Partial
 	}
 	return Connected
 }
 
-func (m *Member) judge(now time.Duration) {
-	if c := m.contactNow(now); c != m.contact {
-		m.contact, m.turned = c, now
-		m.host.Turned(now, c, now)
+// updateContact recomputes the contact and reports a change to the host.
+func (m *Member) updateContact(now time.Duration) {
+	if contact := m.computeContact(now); contact != m.contact {
+		m.contact, m.contactSince = contact, now
+		m.host.ContactChanged(now, contact, now)
 	}
 }
 
-// Contact is the verdict on this instance now, and since when. It is worked out anew, so that one that stood still knows
-// before it acts.
+// Contact returns the contact of this instance and the time since when it is so. It is recomputed at each call, so that an
+// instance that was paused learns that its information is old before it acts on it.
 func (m *Member) Contact(now time.Duration) (Contact, time.Duration) {
-	m.judge(now)
-	return m.contact, m.turned
+	m.updateContact(now)
+	return m.contact, m.contactSince
 }
 
-func (m *Member) one(now time.Duration, p *peer) One {
-	since := func(t time.Duration) time.Duration {
+func (m *Member) info(now time.Duration, p *peer) Info {
+	elapsed := func(t time.Duration) time.Duration {
 		if t == never {
 			return -1
 		}
 		return now - t
 	}
-	return One{Record: p.Record, Age: since(p.left), Hears: since(p.hears), Direct: since(p.direct), Since: p.since}
+	return Info{Record: p.Record, Age: elapsed(p.lastAlive), Hears: elapsed(p.heardUs), Direct: elapsed(p.lastReceived), StatusSince: p.statusSince}
 }
 
-// Members are all others that are known, by name.
-func (m *Member) Members(now time.Duration) (all []One) {
+// Members returns all other members that are known, sorted by name.
+func (m *Member) Members(now time.Duration) (infos []Info) {
 	for _, name := range m.names {
-		all = append(all, m.one(now, m.peers[name]))
+		infos = append(infos, m.info(now, m.peers[name]))
 	}
-	return all
+	return infos
 }
 
-// Own is what this instance says of itself.
+// Own returns the record of this instance.
 func (m *Member) Own() Record { return m.own }
 
-// Age bounds the age of a member's newest word, below 0 where none has come.
+// Age returns an upper bound on the age of a member's newest sign of life, or a negative value if none is known.
 func (m *Member) Age(now time.Duration, name Name) time.Duration {
-	if p := m.peers[name]; p != nil && p.left != never {
-		return now - p.left
+	if p := m.peers[name]; p != nil && p.lastAlive != never {
+		return now - p.lastAlive
 	}
 	return -1
 }
 
-// Missing is a link that does not carry: By does not hear Whom directly, though both are alive.
-type Missing struct{ By, Whom Name }
+// BrokenLink is a link on which direct probes are not answered: By does not get answers of Whom directly, though both are alive.
+type BrokenLink struct{ By, Whom Name }
 
-// Missed are the links that this instance knows not to carry, by its own probes and by what members say of theirs, by name. A
-// link that carries one way is told of by both, as neither gets its probes answered.
-func (m *Member) Missed() (all []Missing) {
-	byMark := map[uint32]Name{mark(m.own): m.own.Name}
+// BrokenLinks returns the broken links that this instance knows of, from its own probes and from what members report of theirs:
+// its own first, then sorted by the reporting member. A link that fails in one direction only is reported by both ends, as
+// neither gets its probes answered.
+func (m *Member) BrokenLinks() (links []BrokenLink) {
+	nameByHash := map[uint32]Name{memberHash(m.own): m.own.Name}
 	for _, p := range m.peers {
-		byMark[p.mark] = p.Name
+		nameByHash[p.hash] = p.Name
 	}
-	add := func(by Name, marks []uint32) {
-		for _, x := range marks {
-			whom := byMark[x]
+	add := func(by Name, hashes []uint32) {
+		for _, hash := range hashes {
+			whom := nameByHash[hash]
 			if p := m.peers[whom]; whom == m.own.Name || p != nil && p.Status == Alive {
-				all = append(all, Missing{by, whom})
+				links = append(links, BrokenLink{by, whom})
 			}
 		}
 	}
-	add(m.own.Name, m.misses())
+	add(m.own.Name, m.unreachablePeers())
 	for _, name := range m.names {
 		if p := m.peers[name]; p.Status == Alive {
-			add(name, p.misses)
+			add(name, p.unreachable)
 		}
 	}
-	return all
+	return links
 }
--- a/decide/member/world_test.go
+++ b/decide/member/world_test.go
@@ -10,54 +10,57 @@
 	"time"
 )
 
-// world is a fleet on a virtual clock, with a network that a test breaks. Each instance has a clock that stands elsewhere.
+// world simulates a fleet on a virtual clock, with a network that a test can disturb. The clocks of the instances differ by random
+// offsets.
 type world struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	events events
-	count  int64
-	all    []*instance
-	byAddr map[Address]*instance
-	loss   float64
-	delay  func() time.Duration
-	double float64
-	cut    func(from, to int) bool // messages that get lost whatever else
-	trace  strings.Builder
-	told   bool // keep a trace
-	quiet  bool // no checks after each step, for large fleets
-	sent   int
-	buffer int // messages that wait for one that stands still
+	t            *testing.T
+	rng          *rand.Rand
+	now          time.Duration
+	events       events
+	eventCount   int64
+	instances    []*instance
+	byAddress    map[Address]*instance
+	loss         float64 // share of messages lost
+	delay        func() time.Duration
+	duplication  float64                 // share of messages delivered twice
+	cut          func(from, to int) bool // links on which all messages are lost
+	trace        strings.Builder
+	traced       bool // record a trace
+	unchecked    bool // skip the checks after each step, for large fleets
+	sent         int
+	pausedBuffer int // messages queued for a paused instance; further ones are lost
 }
 
 type instance struct {
 	*world
-	n         int
-	member    *Member
-	skew      time.Duration
-	up        bool
-	stopped   bool
-	waiting   []func() // what comes while it stands still
-	lastSent  time.Duration
-	gone      map[Name]time.Duration // what it declared
-	life      int
-	displaced bool
-	wakes     int
-	suspected int
-	wronged   int // declarations that somebody who hears it is gone
+	index          int
+	member         *Member
+	skew           time.Duration
+	running        bool
+	paused         bool
+	queued         []func() // events that arrived while it is paused
+	lastSent       time.Duration
+	gone           map[Name]time.Duration // members that it has declared gone, and when
+	life           int
+	displaced      bool
+	wakeCount      int
+	suspectedCount int
+	wrongGoneCount int // wrong declarations: the member was running and reachable in both directions
 }
 
+// event is something that happens at a time; number keeps events at the same time in order.
 type event struct {
-	at time.Duration
-	n  int64
-	do func()
+	at     time.Duration
+	number int64
+	run    func()
 }
 
+// events is a heap by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].n < e[b].n
+	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].number < e[b].number
 }
 func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -67,37 +70,39 @@
 	return last
 }
 
+// at schedules an event, not before the present.
 func (w *world) at(when time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.events, event{max(when, w.now), w.count, do})
+	w.eventCount++
+	heap.Push(&w.events, event{max(when, w.now), w.eventCount, do})
 }
 
-// run plays until a time.
+// run processes the events up to a time.
 func (w *world) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.now = until
 }
 
-func (w *world) say(format string, args ...any) {
-	if w.told {
+// tracef adds a line to the trace, if one is recorded.
+func (w *world) tracef(format string, args ...any) {
+	if w.traced {
 		fmt.Fprintf(&w.trace, "%7.2f s  %s\n", w.now.Seconds(), fmt.Sprintf(format, args...))
 	}
 }
 
 func nameOf(n int) Name { return Name(fmt.Sprintf("i%03d", n)) }
 
-func newWorld(t *testing.T, many int, seed int64) *world {
-	w := &world{t: t, buffer: 1000, rng: rand.New(rand.NewSource(seed)), byAddr: map[Address]*instance{}}
+func newWorld(t *testing.T, size int, seed int64) *world {
+	w := &world{t: t, pausedBuffer: 1000, rng: rand.New(rand.NewSource(seed)), byAddress: map[Address]*instance{}}
 	w.delay = func() time.Duration { return time.Duration(1+w.rng.Intn(4)) * time.Millisecond }
 	w.cut = func(int, int) bool { return false }
-	for n := range many {
-		i := &instance{world: w, n: n, skew: time.Duration(w.rng.Int63n(int64(1000 * time.Hour)))}
-		w.all = append(w.all, i)
-		w.byAddr[Address(nameOf(n))] = i
+	for n := range size {
+		i := &instance{world: w, index: n, skew: time.Duration(w.rng.Int63n(int64(1000 * time.Hour)))}
+		w.instances = append(w.instances, i)
+		w.byAddress[Address(nameOf(n))] = i
 		w.at(time.Duration(w.rng.Intn(500))*time.Millisecond, i.start)
 	}
 	return w
@@ -107,32 +112,34 @@
 
 func (i *instance) start() {
 	i.life++
-	i.up, i.stopped, i.displaced, i.waiting, i.gone = true, false, false, nil, map[Name]time.Duration{}
-	i.member = New(i, Settings{Name: nameOf(i.n), Address: Address(nameOf(i.n)), Life: Life(i.life),
+	i.running, i.paused, i.displaced, i.queued, i.gone = true, false, false, nil, map[Name]time.Duration{}
+	i.member = New(i, Settings{Name: nameOf(i.index), Address: Address(nameOf(i.index)), Life: Life(i.life),
 		Seeds: []Address{Address(nameOf(0)), Address(nameOf(1))}}, i.rng.Int63())
-	i.member.Begin(i.clock())
+	i.member.Start(i.clock())
 }
 
-func (i *instance) kill() { i.up, i.member, i.waiting = false, nil, nil }
+func (i *instance) kill() { i.running, i.member, i.queued = false, nil, nil }
 
-// stop has it stand still, as SIGSTOP does; go on.
-func (i *instance) stop() { i.stopped = true }
-func (i *instance) goOn() {
-	i.stopped = false
-	waiting := i.waiting
-	i.waiting = nil
-	for _, do := range waiting {
+// pause pauses the instance as SIGSTOP does.
+func (i *instance) pause() { i.paused = true }
+
+// resume resumes the instance as SIGCONT does; the queued events are processed first.
+func (i *instance) resume() {
+	i.paused = false
+	queued := i.queued
+	i.queued = nil
+	for _, do := range queued {
 		do()
 	}
 }
 
-// does what comes to it, now or once it goes on.
-func (i *instance) does(life int, do func()) {
+// deliver runs an event for a life of the instance, at once or, if it is paused, when it resumes.
+func (i *instance) deliver(life int, do func()) {
 	switch {
-	case !i.up || i.life != life:
-	case i.stopped:
-		if len(i.waiting) < i.buffer {
-			i.waiting = append(i.waiting, func() { i.does(life, do) })
+	case !i.running || i.life != life:
+	case i.paused:
+		if len(i.queued) < i.pausedBuffer {
+			i.queued = append(i.queued, func() { i.deliver(life, do) })
 		}
 	default:
 		do()
@@ -144,65 +151,65 @@
 	w := i.world
 	i.lastSent = w.now
 	w.sent++
-	other := w.byAddr[to]
+	other := w.byAddress[to]
 	if other == nil {
 		return
 	}
 	copies := 1
-	if w.rng.Float64() < w.double {
+	if w.rng.Float64() < w.duplication {
 		copies = 2
 	}
 	for range copies {
-		if w.cut(i.n, other.n) || w.rng.Float64() < w.loss {
+		if w.cut(i.index, other.index) || w.rng.Float64() < w.loss {
 			continue
 		}
-		from := Address(nameOf(i.n))
+		from := Address(nameOf(i.index))
 		w.at(w.now+w.delay(), func() {
-			other.does(other.life, func() { other.member.Heard(other.clock(), from, m) })
+			other.deliver(other.life, func() { other.member.HandleMessage(other.clock(), from, m) })
 		})
 	}
 }
 
-func (i *instance) Exchange(to Address) {
-	w, other := i.world, i.byAddr[to]
+func (i *instance) ExchangeState(to Address) {
+	w, other := i.world, i.byAddress[to]
 	asked, life := i.clock(), i.life
-	if other == nil || w.cut(i.n, other.n) || w.cut(other.n, i.n) {
+	if other == nil || w.cut(i.index, other.index) || w.cut(other.index, i.index) {
 		return
 	}
 	i.lastSent = w.now
 	from, all, ages := i.member.State(i.clock())
 	w.at(w.now+w.delay(), func() {
-		other.does(other.life, func() {
+		other.deliver(other.life, func() {
 			other.lastSent = w.now
-			other.member.Synced(other.clock(), -1, from, all, ages)
+			other.member.HandleState(other.clock(), -1, from, all, ages)
 			from, all, ages := other.member.State(other.clock())
 			w.at(w.now+w.delay(), func() {
-				i.does(life, func() { i.member.Synced(i.clock(), asked, from, all, ages) })
+				i.deliver(life, func() { i.member.HandleState(i.clock(), asked, from, all, ages) })
 			})
 		})
 	})
 }
 
 func (i *instance) WakeAt(at time.Duration) {
-	i.wakes++
-	life, wake := i.life, i.wakes
+	i.wakeCount++
+	life, wake := i.life, i.wakeCount
 	i.world.at(at-i.skew, func() {
-		if i.wakes == wake && i.stopped && i.up && i.life == life { // an alarm is not lost
-			i.waiting = append(i.waiting, func() { i.does(life, func() { i.member.Tick(i.clock()) }) })
-		} else if i.wakes == wake {
-			i.does(life, func() { i.member.Tick(i.clock()) })
+		if i.wakeCount == wake && i.paused && i.running && i.life == life { // a timer is not lost while paused, unlike messages
+			i.queued = append(i.queued, func() { i.deliver(life, func() { i.member.Tick(i.clock()) }) })
+		} else if i.wakeCount == wake {
+			i.deliver(life, func() { i.member.Tick(i.clock()) })
 		}
 	})
 }
 
-func (i *instance) Changed(now time.Duration, m One) {
-	i.say("%s: %s is %v", nameOf(i.n), m.Name, m.Status)
+func (i *instance) StatusChanged(now time.Duration, m Info) {
+	i.tracef("%s: %s is %v", nameOf(i.index), m.Name, m.Status)
 	if m.Status == Suspect {
-		i.suspected++
+		i.suspectedCount++
 	}
 	if m.Status == Gone {
-		if other := i.byAddr[m.Address]; other != nil && other.up && !i.cut(i.n, other.n) && !i.cut(other.n, i.n) && !other.stopped {
-			i.wronged++
+		if other := i.byAddress[m.Address]; other != nil && other.running && !i.cut(i.index, other.index) && !i.cut(other.index, i.index) && !other.paused {
+			i.wrongGoneCount++
 		}
 		i.gone[m.Name] = i.now
 	} else {
@@ -210,41 +217,42 @@
 	}
 }
 
-func (i *instance) Turned(now time.Duration, c Contact, since time.Duration) {
-	i.say("%s is %v", nameOf(i.n), c)
+func (i *instance) ContactChanged(now time.Duration, c Contact, since time.Duration) {
+	i.tracef("%s is %v", nameOf(i.index), c)
 }
 
 func (i *instance) Displaced(by Record) {
 	i.displaced = true
-	i.say("%s: another one has this name", nameOf(i.n))
+	i.tracef("%s: another one has this name", nameOf(i.index))
 }
 
-// check is the promise on ages, after each step: never newer than the last word that left the other one.
+// check verifies the guarantees after each step: no age is less than the time since the member last sent something, and no more
+// members are kept than allowed.
 func (i *instance) check() {
-	if !i.up || i.member == nil || i.quiet {
+	if !i.running || i.member == nil || i.unchecked {
 		return
 	}
 	now := i.clock()
-	for _, one := range i.member.Members(now) {
-		other := i.byAddr[one.Address]
-		if one.Age >= 0 && one.Age < i.now-other.lastSent {
-			i.t.Fatalf("%v: %s holds a word of %s for %v old, and it said nothing for %v", i.now, nameOf(i.n), one.Name, one.Age,
+	for _, info := range i.member.Members(now) {
+		other := i.byAddress[info.Address]
+		if info.Age >= 0 && info.Age < i.now-other.lastSent {
+			i.t.Fatalf("%v: %s takes the last sign of life of %s for %v old, but it has sent nothing for %v", i.now, nameOf(i.index), info.Name, info.Age,
 				i.now-other.lastSent)
 		}
 	}
-	if len(i.member.peers) > i.member.set.Most {
-		i.t.Fatal("more members than there is room for")
+	if len(i.member.peers) > i.member.settings.MaxMembers {
+		i.t.Fatal("more members kept than the maximum")
 	}
 }
 
-// statuses counts what the instances that run conclude of another.
-func (w *world) statuses(of int) map[Status]int {
+// statuses counts the statuses that the running instances have for another; -1 is for those that do not know it.
+func (w *world) statuses(index int) map[Status]int {
 	count := map[Status]int{}
-	for _, i := range w.all {
-		if i.n == of || !i.up || i.stopped {
+	for _, i := range w.instances {
+		if i.index == index || !i.running || i.paused {
 			continue
 		}
-		if p := i.member.peers[nameOf(of)]; p != nil {
+		if p := i.member.peers[nameOf(index)]; p != nil {
 			count[p.Status]++
 		} else {
 			count[-1]++
@@ -253,40 +261,41 @@
 	return count
 }
 
-// allKnow tells whether all that run hold all that run for alive, and no other.
+// allKnow returns an error unless all running instances have all running instances as Alive, and the others as Gone, Left or
+// unknown.
 func (w *world) allKnow() error {
-	for _, j := range w.all {
+	for _, j := range w.instances {
 		want := Alive
-		if !j.up {
+		if !j.running {
 			want = Gone
 		}
-		for status, n := range w.statuses(j.n) {
+		for status, n := range w.statuses(j.index) {
 			if status != want && !(want == Gone && (status == Left || status == -1)) {
-				return fmt.Errorf("%v: %d hold %s for %v", w.now, n, nameOf(j.n), status)
+				return fmt.Errorf("%v: %d instances have %s as %v", w.now, n, nameOf(j.index), status)
 			}
 		}
 	}
 	return nil
 }
 
-// until plays on until a thing is so, and gives how long that took.
-func (w *world) until(most time.Duration, so func() bool) time.Duration {
+// until runs until a condition holds and returns how long that took. It fails the test after the given time.
+func (w *world) until(timeout time.Duration, condition func() bool) time.Duration {
 	from := w.now
-	for w.now < from+most {
-		if so() {
+	for w.now < from+timeout {
+		if condition() {
 			return w.now - from
 		}
 		w.run(w.now + 50*time.Millisecond)
 	}
-	w.t.Fatalf("not within %v from %v on: %v", most, from, w.allKnow())
+	w.t.Fatalf("condition did not hold within %v from %v on: %v", timeout, from, w.allKnow())
 	return 0
 }
 
-// contacts counts the verdicts of a part of the instances.
-func (w *world) contacts(of []int) map[Contact]int {
+// contacts counts the contacts of some instances, leaving out those that are down or paused.
+func (w *world) contacts(indexes []int) map[Contact]int {
 	count := map[Contact]int{}
-	for _, n := range of {
-		if i := w.all[n]; i.up && !i.stopped {
+	for _, n := range indexes {
+		if i := w.instances[n]; i.running && !i.paused {
 			c, _ := i.member.Contact(i.clock())
 			count[c]++
 		}
@@ -294,15 +303,16 @@
 	return count
 }
 
-func span(from, to int) (all []int) {
+// indexRange returns the numbers from the first up to, but without, the last.
+func indexRange(from, to int) (all []int) {
 	for n := from; n < to; n++ {
 		all = append(all, n)
 	}
 	return all
 }
 
-// sides cuts the fleet into parts that do not hear one another.
-func (w *world) sides(parts ...[]int) {
+// partition cuts the network into parts that cannot exchange messages with one another.
+func (w *world) partition(parts ...[]int) {
 	w.cut = func(from, to int) bool {
 		for _, part := range parts {
 			if slices.Contains(part, from) {
@@ -313,4 +323,5 @@
 	}
 }
 
-func (w *world) whole() { w.cut = func(int, int) bool { return false } }
+// repairLinks restores all links.
+func (w *world) repairLinks() { w.cut = func(int, int) bool { return false } }
--- a/member/gossip/codec.go
+++ b/member/gossip/codec.go
@@ -15,33 +15,35 @@
 	"yarrowbarrow/decide/member"
 )
 
-// A datagram is a head, a code over all that follows it, and the message as CBOR:
+// A datagram consists of a header with an authentication code over all that follows the code, and the message in CBOR. The
+// numbers are sizes in bytes:
 //
 //	"yb" version:1 code:16 sender:8 number:8 message
 //
-// The code is the first half of HMAC-SHA256 under the shared key. Sender is the mark of a name and its life, and number
-// counts what it sent, from 1, against replays. Unknown fields of a message are skipped, and absent ones are zero, so that
-// two versions understand each other as long as the meaning of the others stays.
+// The code is the first half of HMAC-SHA256 under the shared key. Sender is a hash of the sender's name and life. Number counts
+// its datagrams from 1 and serves to reject replays. Unknown fields of a message are skipped and absent ones are zero, so that
+// two versions can communicate as long as the meaning of the common fields stays.
 const (
-	version  = 1
-	codeSize = 16
-	headSize = 3 + codeSize
-	numbered = headSize + 16
+	version             = 1
+	codeBytes           = 16
+	headerBytes         = 3 + codeBytes
+	datagramHeaderBytes = headerBytes + 16
 )
 
-// mostDatagram stays under the smallest usual way's 1,280 bytes with its heads.
-const mostDatagram = 1200
+// maxDatagramBytes keeps a datagram with its IP and UDP headers below 1,280 bytes, the smallest MTU of usual network paths.
+const maxDatagramBytes = 1200
 
-// mostState is of the full state of an instance: 10,000 records.
-const mostState = 1 << 20
+// maxStateBytes limits the encoded full state of an instance; it has room for 10,000 records.
+const maxStateBytes = 1 << 20
 
 var (
-	errShort   = errors.New("too short")
-	errVersion = errors.New("not of this protocol, or of another version")
-	errKey     = errors.New("not of this key")
-	errReplay  = errors.New("seen before, or too old")
+	errLength  = errors.New("invalid message length")
+	errVersion = errors.New("not a message of this protocol and version")
+	errKey     = errors.New("authentication code matches none of the keys")
+	errReplay  = errors.New("replayed or outdated message, or sender does not match the message")
 )
 
+// record is a member.Record on the wire.
 type record struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
@@ -51,41 +53,44 @@
 	By      string `cbor:"6,keyasint,omitempty"`
 }
 
+// age is a member.Age on the wire, an array of two numbers.
 type age struct {
-	_   struct{} `cbor:",toarray"`
-	Of  uint32
-	Old uint32 // in ms, rounded up
+	_    struct{} `cbor:",toarray"`
+	Hash uint32
+	Age  uint32 // in ms; rounded up, as it is an upper bound
 }
 
-type parcel struct {
-	_     struct{} `cbor:",toarray"`
-	Cargo byte
-	Data  []byte
+// payload is a member.Payload on the wire.
+type payload struct {
+	_    struct{} `cbor:",toarray"`
+	Type byte
+	Data []byte
 }
 
+// message is a member.Message on the wire.
 type message struct {
-	Kind    int8     `cbor:"1,keyasint"`
-	Seq     uint64   `cbor:"2,keyasint"`
-	From    record   `cbor:"3,keyasint"`
-	To      string   `cbor:"4,keyasint,omitempty"`
-	About   *record  `cbor:"5,keyasint,omitempty"`
-	News    []record `cbor:"6,keyasint,omitempty"`
-	Ages    []age    `cbor:"7,keyasint,omitempty"`
-	Parcels []parcel `cbor:"8,keyasint,omitempty"`
-	Misses  []uint32 `cbor:"9,keyasint,omitempty"`
+	Kind        int8      `cbor:"1,keyasint"`
+	Seq         uint64    `cbor:"2,keyasint"`
+	From        record    `cbor:"3,keyasint"`
+	To          string    `cbor:"4,keyasint,omitempty"`
+	Target      *record   `cbor:"5,keyasint,omitempty"`
+	Updates     []record  `cbor:"6,keyasint,omitempty"`
+	Ages        []age     `cbor:"7,keyasint,omitempty"`
+	Payloads    []payload `cbor:"8,keyasint,omitempty"`
+	Unreachable []uint32  `cbor:"9,keyasint,omitempty"`
 }
 
-// state is what a stream carries, both ways.
+// state is a request for, or an answer with, the full state of an instance; each carries the state of its sender.
 type state struct {
-	From   record   `cbor:"1,keyasint"`
-	All    []record `cbor:"2,keyasint,omitempty"`
-	Ages   []age    `cbor:"3,keyasint,omitempty"`
-	Answer []byte   `cbor:"4,keyasint,omitempty"` // the nonce of the question that this answers
-	Nonce  []byte   `cbor:"5,keyasint,omitempty"`
+	From    record   `cbor:"1,keyasint"`
+	Records []record `cbor:"2,keyasint,omitempty"`
+	Ages    []age    `cbor:"3,keyasint,omitempty"`
+	Answer  []byte   `cbor:"4,keyasint,omitempty"` // the nonce of the request that this answers
+	Nonce   []byte   `cbor:"5,keyasint,omitempty"` // random bytes that the answer must repeat; in requests only
 }
 
-// reader bounds what a message may ask for before anything is built of it.
-var reader = sync.OnceValue(func() cbor.DecMode {
+// decoder returns the CBOR decoding mode, whose limits apply before anything is allocated for the content of a message.
+var decoder = sync.OnceValue(func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 16384, MaxMapPairs: 64, MaxNestedLevels: 8, ExtraReturnErrors: cbor.ExtraDecErrorNone,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
@@ -94,170 +99,176 @@
 	return m
 })
 
+// toRecord converts a record to its form on the wire; toMember converts it back.
 func toRecord(r member.Record) record {
 	return record{string(r.Name), string(r.Address), int64(r.Life), r.Turn, int8(r.Status), string(r.By)}
 }
 
-func (r record) record() member.Record {
+func (r record) toMember() member.Record {
 	return member.Record{Name: member.Name(r.Name), Address: member.Address(r.Address), Life: member.Life(r.Life), Turn: r.Turn,
 		Status: member.Status(r.Status), By: member.Name(r.By)}
 }
 
-func toRecords(all []member.Record) (out []record) {
-	for _, r := range all {
+func toRecords(records []member.Record) (out []record) {
+	for _, r := range records {
 		out = append(out, toRecord(r))
 	}
 	return out
 }
 
-func records(all []record) (out []member.Record) {
-	for _, r := range all {
-		out = append(out, r.record())
+// fromRecords is the inverse of toRecords.
+func fromRecords(records []record) (out []member.Record) {
+	for _, r := range records {
+		out = append(out, r.toMember())
 	}
 	return out
 }
 
-func toAges(all []member.Age) (out []age) {
-	for _, a := range all {
-		out = append(out, age{Of: a.Of, Old: uint32(min((a.Old+ms-1)/ms, 1<<32-1))})
+func toAges(ages []member.Age) (out []age) {
+	for _, a := range ages {
+		out = append(out, age{Hash: a.Hash, Age: uint32(min((a.Age+ms-1)/ms, 1<<32-1))})
 	}
 	return out
 }
 
-func ages(all []age) (out []member.Age) {
-	for _, a := range all {
-		out = append(out, member.Age{Of: a.Of, Old: ms * time.Duration(a.Old)})
+// fromAges is the inverse of toAges.
+func fromAges(ages []age) (out []member.Age) {
+	for _, a := range ages {
+		out = append(out, member.Age{Hash: a.Hash, Age: ms * time.Duration(a.Age)})
 	}
 	return out
 }
 
-// valid bounds what comes: names and addresses are short, and no part is longer than a datagram has room for.
+// valid rejects a message with invalid records or with too many unreachable members.
 func (m *message) valid() error {
-	for _, r := range append([]record{m.From}, m.News...) {
+	for _, r := range append([]record{m.From}, m.Updates...) {
 		if err := r.valid(); err != nil {
 			return err
 		}
 	}
-	if len(m.Misses) > mostMisses {
-		return fmt.Errorf("%d links that don't carry", len(m.Misses))
+	if len(m.Unreachable) > maxUnreachable {
+		return fmt.Errorf("%d unreachable members are more than allowed", len(m.Unreachable))
 	}
-	if m.About != nil {
-		return m.About.valid()
+	if m.Target != nil {
+		return m.Target.valid()
 	}
 	return nil
 }
 
-// mostMisses is more than any version tells of.
-const mostMisses = 64
+// maxUnreachable limits Unreachable in received messages. It is above what any version sends.
+const maxUnreachable = 64
 
-// mostName is of a member's name and address.
-const mostName = 64
+// maxNameBytes limits the name and the address of a member.
+const maxNameBytes = 64
 
+// valid rejects records with an empty name, overlong names or addresses, or an unknown status.
 func (r *record) valid() error {
-	if r.Name == "" || len(r.Name) > mostName || len(r.Address) > mostName || len(r.By) > mostName {
-		return fmt.Errorf("a name of %d bytes, an address of %d", len(r.Name), len(r.Address))
+	if r.Name == "" || len(r.Name) > maxNameBytes || len(r.Address) > maxNameBytes || len(r.By) > maxNameBytes {
+		return fmt.Errorf("record has an empty or overlong text: name of %d bytes, address of %d bytes", len(r.Name), len(r.Address))
 	}
 	if r.Status < 0 || r.Status > int8(member.Left) {
-		return fmt.Errorf("status %d", r.Status)
+		return fmt.Errorf("record has unknown status %d", r.Status)
 	}
 	return nil
 }
 
 func encode(m member.Message) ([]byte, error) {
-	out := message{Kind: int8(m.Kind), Seq: uint64(m.Seq), From: toRecord(m.From), To: string(m.To), News: toRecords(m.News), Ages: toAges(m.Ages),
-		Misses: m.Misses}
-	if m.About.Name != "" {
-		about := toRecord(m.About)
-		out.About = &about
+	out := message{Kind: int8(m.Kind), Seq: uint64(m.Seq), From: toRecord(m.From), To: string(m.To), Updates: toRecords(m.Updates), Ages: toAges(m.Ages),
+		Unreachable: m.Unreachable}
+	if m.Target.Name != "" {
+		target := toRecord(m.Target)
+		out.Target = &target
 	}
-	for _, p := range m.Parcels {
-		out.Parcels = append(out.Parcels, parcel{Cargo: p.Cargo, Data: p.Data})
+	for _, p := range m.Payloads {
+		out.Payloads = append(out.Payloads, payload{Type: p.Type, Data: p.Data})
 	}
 	return cbor.Marshal(out)
 }
 
 func decode(data []byte) (m member.Message, err error) {
 	var in message
-	if err = reader().Unmarshal(data, &in); err == nil {
+	if err = decoder().Unmarshal(data, &in); err == nil {
 		err = in.valid()
 	}
 	if err != nil {
 		return m, err
 	}
-	m = member.Message{Kind: member.Kind(in.Kind), Seq: member.Seq(in.Seq), From: in.From.record(), To: member.Name(in.To),
-		News: records(in.News), Ages: ages(in.Ages), Misses: in.Misses}
-	if in.About != nil {
-		m.About = in.About.record()
+	m = member.Message{Kind: member.Kind(in.Kind), Seq: member.Seq(in.Seq), From: in.From.toMember(), To: member.Name(in.To),
+		Updates: fromRecords(in.Updates), Ages: fromAges(in.Ages), Unreachable: in.Unreachable}
+	if in.Target != nil {
+		m.Target = in.Target.toMember()
 	}
-	for _, p := range in.Parcels {
-		m.Parcels = append(m.Parcels, member.Parcel{Cargo: p.Cargo, Data: p.Data})
+	for _, p := range in.Payloads {
+		m.Payloads = append(m.Payloads, member.Payload{Type: p.Type, Data: p.Data})
 	}
 	return m, nil
 }
 
-// keys are the shared ones: the first seals, any opens.
+// keys are the shared keys: the first one authenticates what is sent, any of them is accepted.
 type keys [][]byte
 
-// seal puts the head before a message whose first headSize bytes are kept free for it.
-func (k keys) seal(text []byte) []byte {
-	text[0], text[1], text[2] = 'y', 'b', version
-	copy(text[3:], code(k[0], text[headSize:]))
-	return text
+// seal fills in the header of a message whose first headerBytes bytes are reserved for it, and returns the message.
+func (k keys) seal(message []byte) []byte {
+	message[0], message[1], message[2] = 'y', 'b', version
+	copy(message[3:], code(k[0], message[headerBytes:]))
+	return message
 }
 
-// open gives what stands behind the head of a text under one of the keys.
-func (k keys) open(text []byte) ([]byte, error) {
-	if len(text) < headSize {
-		return nil, errShort
+// open returns what follows the header of a message, if its code is valid under one of the keys.
+func (k keys) open(message []byte) ([]byte, error) {
+	if len(message) < headerBytes {
+		return nil, errLength
 	}
-	if text[0] != 'y' || text[1] != 'b' || text[2] != version {
+	if message[0] != 'y' || message[1] != 'b' || message[2] != version {
 		return nil, errVersion
 	}
 	for _, key := range k {
-		if hmac.Equal(code(key, text[headSize:]), text[3:headSize]) {
-			return text[headSize:], nil
+		if hmac.Equal(code(key, message[headerBytes:]), message[3:headerBytes]) {
+			return message[headerBytes:], nil
 		}
 	}
 	return nil, errKey
 }
 
-func code(key, text []byte) []byte {
+// code returns the authentication code of data.
+func code(key, data []byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write(text)
-	return h.Sum(nil)[:codeSize]
+	h.Write(data)
+	return h.Sum(nil)[:codeBytes]
 }
 
-// senderOf is the mark of a name's life in datagrams.
-func senderOf(name string, life int64) uint64 {
+// senderNumber returns the sender number of datagrams: a hash of the member's name and life.
+func senderNumber(name string, life int64) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // which never fails
-	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], uint64(life))
-	_, _ = h.Write(b[:])
+	_, _ = h.Write([]byte(name)) // never fails
+	var lifeBytes [8]byte
+	binary.BigEndian.PutUint64(lifeBytes[:], uint64(life))
+	_, _ = h.Write(lifeBytes[:])
 	return h.Sum64()
 }
 
-// window tells the numbers of one sender that have come from those that have not: the newest, and which of the 64 before.
+// window is the replay window of one sender: the highest number received, and which of the 64 numbers up to it were received.
 type window struct {
-	newest uint64
-	came   uint64 // bit n: newest-n
+	newest   uint64
+	received uint64 // bit i is set if newest-i was received
 }
 
-func (w *window) take(n uint64) bool {
+// accept marks a number as received. It returns false for a number that was received before, or is too old to tell.
+func (w *window) accept(number uint64) bool {
 	switch {
-	case n == 0 || n+64 <= w.newest:
+	case number == 0 || number+64 <= w.newest:
 		return false
-	case n > w.newest:
-		if by := n - w.newest; by < 64 {
-			w.came <<= by
+	case number > w.newest:
+		if shift := number - w.newest; shift < 64 {
+			w.received <<= shift
 		} else {
-			w.came = 0
+			w.received = 0
 		}
-		w.newest, w.came = n, w.came|1
+		w.newest, w.received = number, w.received|1
 		return true
 	}
-	bit := uint64(1) << (w.newest - n)
-	fresh := w.came&bit == 0
-	w.came |= bit
+	bit := uint64(1) << (w.newest - number)
+	fresh := w.received&bit == 0
+	w.received |= bit
 	return fresh
 }
--- a/member/gossip/gossip.go
+++ b/member/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip carries decide/member over UDP, and full states over TCP at the same address. All messages bear a code
-// under a key that the fleet shares. What goes and comes is bounded by the configuration; what is over the bound is dropped,
-// as the network would.
+// Package gossip is the transport of decide/member: messages go over UDP, exchanges of the full state over TCP at the same
+// address. All messages carry an authentication code under a key that the fleet shares. The configuration limits the bytes per
+// second in each direction; datagrams over the limit are dropped, like datagrams that the network loses.
 package gossip
 
 import (
@@ -26,79 +26,82 @@
 
 const ms = time.Millisecond
 
-// Config of an instance.
+// Config configures an instance.
 type Config struct {
 	Name    string
-	Listen  string   // UDP and TCP, such as 10.0.0.4:7946
-	Told    string   // the address by which others reach it, where that is another
-	Seeds   []string // where others may be found
-	KeyFile string   // a key a line, at least 16 bytes each: the first is used, all are taken; read again with ReadKeys
-	Period  time.Duration
-	Most    int // members
-	BytesPS int // each way
+	Listen  string        // UDP and TCP address to listen on, such as 10.0.0.4:7946
+	Told    string        // advertised address, at which others reach this instance; empty if it is Listen
+	Seeds   []string      // addresses to join through
+	KeyFile string        // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
+	Period  time.Duration // protocol period, see member.Settings
+	Most    int           // members that are kept
+	BytesPS int           // bytes per second in datagrams, each for sending and receiving
 	Cargo   map[byte]member.Cargo
 }
 
-// Counts of an instance since its start.
+// Counts are counters of an instance since its start.
 type Counts struct {
-	Sent      int64 `json:"Sent"` // datagrams
-	Came      int64 `json:"Came"`
-	SentBytes int64 `json:"SentBytes"`
-	CameBytes int64 `json:"CameBytes"`
-	Bounded   int64 `json:"Bounded"` // not sent or not read, as there was more than the configuration allows
-	Refused   int64 `json:"Refused"` // of another key or version, replayed, or unreadable
-	Streams   int64 `json:"Streams"` // full states exchanged
+	Sent          int64 `json:"Sent"` // datagrams
+	Received      int64 `json:"Came"` // datagrams
+	SentBytes     int64 `json:"SentBytes"`
+	ReceivedBytes int64 `json:"CameBytes"`
+	RateLimited   int64 `json:"Bounded"` // datagrams not sent or not read because of Config.BytesPS
+	Rejected      int64 `json:"Refused"` // messages of another key or version, replayed, or malformed
+	Exchanges     int64 `json:"Streams"` // full states received
 }
 
-// Gossip is one instance. Its methods may be called from anywhere.
+// Gossip is a running instance. The methods Send, ExchangeState, WakeAt, StatusChanged, ContactChanged and Displaced are called by
+// its member, with the lock held. The other methods may be called from any goroutine.
 type Gossip struct {
-	cfg  Config
-	log  *slog.Logger
-	born time.Time
-	udp  *net.UDPConn
-	tcp  net.Listener
-
-	mu      sync.Mutex
-	member  *member.Member
-	keys    keys
-	sender  uint64
-	number  uint64
-	windows map[uint64]*window
-	order   []uint64 // of windows, oldest first
-	out     []outgoing
-	streams []string // to exchange the full state with
-	lines   []func()
-	timer   *time.Timer
-	counts  Counts
-	allowed [2]bucket // out, in
-	open    int       // streams under way
-	closed  bool
+	cfg       Config
+	log       *slog.Logger
+	startedAt time.Time
+	udp       *net.UDPConn
+	tcp       net.Listener
+
+	mu            sync.Mutex
+	member        *member.Member
+	keys          keys
+	sender        uint64
+	number        uint64
+	windows       map[uint64]*window
+	order         []uint64   // keys of windows, oldest first
+	outgoing      []datagram // datagrams to send once the lock is released
+	exchanges     []string   // addresses to exchange the full state with, once the lock is released
+	logCalls      []func()   // log calls to make once the lock is released
+	timer         *time.Timer
+	counts        Counts
+	buckets       [2]bucket // token buckets for sending and receiving
+	openExchanges int       // state exchanges under way
+	closed        bool
 }
 
-type outgoing struct {
+// datagram is a sealed datagram and where it goes.
+type datagram struct {
 	to   netip.AddrPort
-	text []byte
+	data []byte
 }
 
-// bucket holds what may pass, up to two seconds' worth.
+// bucket is a token bucket in bytes that holds up to two seconds of its rate.
 type bucket struct {
-	left float64
-	at   time.Duration
+	tokens     float64
+	refilledAt time.Duration
 }
 
-func (b *bucket) take(now time.Duration, n, perS int) bool {
-	b.left = min(b.left+float64(perS)*(now-b.at).Seconds(), 2*float64(perS))
-	b.at = now
-	if b.left < float64(n) {
+// take refills the bucket at a rate in bytes per second and takes bytes out, or returns false if there are too few.
+func (b *bucket) take(now time.Duration, bytes, bytesPerSecond int) bool {
+	b.tokens = min(b.tokens+float64(bytesPerSecond)*(now-b.refilledAt).Seconds(), 2*float64(bytesPerSecond))
+	b.refilledAt = now
+	if b.tokens < float64(bytes) {
 		return false
 	}
-	b.left -= float64(n)
+	b.tokens -= float64(bytes)
 	return true
 }
 
-// Start begins an instance; Close or Leave ends it.
+// Start starts an instance, which runs until Close or Leave. It fails on an invalid key file and if it cannot listen.
 func Start(cfg Config, log *slog.Logger) (*Gossip, error) {
-	g := &Gossip{cfg: cfg, log: log, born: time.Now(), windows: map[uint64]*window{}}
+	g := &Gossip{cfg: cfg, log: log, startedAt: time.Now(), windows: map[uint64]*window{}}
 	if err := g.ReadKeys(); err != nil {
 		return nil, err
 	}
@@ -113,49 +116,51 @@
 		g.udp.Close()
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	told := cmp.Or(cfg.Told, cfg.Listen)
+	advertised := cmp.Or(cfg.Told, cfg.Listen)
 	var seeds []member.Address
-	for _, s := range cfg.Seeds {
-		if s != told {
-			seeds = append(seeds, member.Address(s))
+	for _, seed := range cfg.Seeds {
+		if seed != advertised {
+			seeds = append(seeds, member.Address(seed))
 		}
 	}
-	life := g.born.UnixNano()
-	g.sender = senderOf(cfg.Name, life)
-	for n := range g.allowed {
-		g.allowed[n].left = 2 * float64(cfg.BytesPS)
+	life := g.startedAt.UnixNano()
+	g.sender = senderNumber(cfg.Name, life)
+	for i := range g.buckets {
+		g.buckets[i].tokens = 2 * float64(cfg.BytesPS)
 	}
 	g.timer = time.AfterFunc(time.Hour, g.tick)
-	g.member = member.New(g, member.Settings{Name: member.Name(cfg.Name), Address: member.Address(told), Life: member.Life(life),
-		Seeds: seeds, Period: cfg.Period, Most: cfg.Most, Cargo: cfg.Cargo}, life)
-	g.do(func(now time.Duration) { g.member.Begin(now) })
-	go g.hear()
+	g.member = member.New(g, member.Settings{Name: member.Name(cfg.Name), Address: member.Address(advertised), Life: member.Life(life),
+		Seeds: seeds, Period: cfg.Period, MaxMembers: cfg.Most, Cargo: cfg.Cargo}, life)
+	g.do(func(now time.Duration) { g.member.Start(now) })
+	go g.receive()
 	go g.accept()
 	return g, nil
 }
 
-// leastKey in bytes.
-const leastKey = 16
+// minKeyBytes is the minimum length of a key.
+const minKeyBytes = 16
 
-// ReadKeys reads the key file again. A faulty one changes nothing. To change the key of a fleet: add the new one as second
-// everywhere, then put it first everywhere, then take the old one out.
+// ReadKeys reads the key file again. If the file is invalid, it returns an error and the keys stay as they were.
+//
+// To rotate the key of a fleet, add the new key as the second one on all instances, then put it first on all instances, then
+// remove the old one.
 func (g *Gossip) ReadKeys() error {
 	raw, err := os.ReadFile(g.cfg.KeyFile)
 	if err != nil {
 		return fmt.Errorf("key file: %w", err)
 	}
 	var read keys
-	for n, line := range strings.Split(string(raw), "\n") {
+	for i, line := range strings.Split(string(raw), "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if len(line) < leastKey {
-			return fmt.Errorf("key file %s: line %d has %d bytes, wanted: %d or more", g.cfg.KeyFile, n+1, len(line), leastKey)
+		if len(line) < minKeyBytes {
+			return fmt.Errorf("key file %s: the key in line %d has %d bytes, wanted: %d or more", g.cfg.KeyFile, i+1, len(line), minKeyBytes)
 		}
 		read = append(read, []byte(line))
 	}
 	if len(read) == 0 || len(read) > 2 {
-		return fmt.Errorf("key file %s: %d keys, wanted: one, or two while they change", g.cfg.KeyFile, len(read))
+		return fmt.Errorf("key file %s: %d keys, wanted: one, or two during a key rotation", g.cfg.KeyFile, len(read))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,9 +168,10 @@
 	return nil
 }
 
-func (g *Gossip) now() time.Duration { return time.Since(g.born) }
+// now is the clock that the member is given: the time since the start, which is monotonic.
+func (g *Gossip) now() time.Duration { return time.Since(g.startedAt) }
 
-// do runs f under the lock, and then sends and logs what came of it.
+// do runs f under the lock, and after its release sends, exchanges and logs what f has queued. It does nothing once closed.
 func (g *Gossip) do(f func(now time.Duration)) {
 	g.mu.Lock()
 	if g.closed {
@@ -173,134 +179,136 @@
 		return
 	}
 	f(g.now())
-	out, streams, lines := g.out, g.streams, g.lines
-	g.out, g.streams, g.lines = nil, nil, nil
+	outgoing, exchanges, logCalls := g.outgoing, g.exchanges, g.logCalls
+	g.outgoing, g.exchanges, g.logCalls = nil, nil, nil
 	g.mu.Unlock()
-	for _, o := range out {
-		_, _ = g.udp.WriteToUDPAddrPort(o.text, o.to) // what can't leave is lost, as on the way
+	for _, datagram := range outgoing {
+		_, _ = g.udp.WriteToUDPAddrPort(datagram.data, datagram.to) // a failed send is treated like a datagram lost in the network
 	}
-	for _, to := range streams {
+	for _, to := range exchanges {
 		go g.exchange(to)
 	}
-	for _, line := range lines {
-		line()
+	for _, call := range logCalls {
+		call()
 	}
 }
 
 func (g *Gossip) tick() { g.do(func(now time.Duration) { g.member.Tick(now) }) }
 
-// Send puts a message into a datagram; what does not fit loses its parcels, ages and news, in this order.
+// Send queues a message as a datagram. If the message is too large, its payloads are removed, then half or all of the ages, then
+// half or all of the updates.
 func (g *Gossip) Send(to member.Address, m member.Message) {
 	address, err := netip.ParseAddrPort(string(to))
 	if err != nil {
 		return
 	}
-	var text []byte
-	for _, less := range []func(){func() {}, func() { m.Parcels = nil }, func() { m.Ages = m.Ages[:len(m.Ages)/2] },
-		func() { m.Ages = nil }, func() { m.News = m.News[:len(m.News)/2] }, func() { m.News = nil }} {
-		less()
-		if text, err = encode(m); err != nil {
+	var encoded []byte
+	for _, shrink := range []func(){func() {}, func() { m.Payloads = nil }, func() { m.Ages = m.Ages[:len(m.Ages)/2] },
+		func() { m.Ages = nil }, func() { m.Updates = m.Updates[:len(m.Updates)/2] }, func() { m.Updates = nil }} {
+		shrink()
+		if encoded, err = encode(m); err != nil {
 			return
 		}
-		if numbered+len(text) <= mostDatagram {
+		if datagramHeaderBytes+len(encoded) <= maxDatagramBytes {
 			break
 		}
 	}
-	if numbered+len(text) > mostDatagram {
+	if datagramHeaderBytes+len(encoded) > maxDatagramBytes {
 		return
 	}
-	if !g.allowed[0].take(g.now(), numbered+len(text), g.cfg.BytesPS) {
-		g.counts.Bounded++
+	if !g.buckets[0].take(g.now(), datagramHeaderBytes+len(encoded), g.cfg.BytesPS) {
+		g.counts.RateLimited++
 		return
 	}
 	g.number++
-	whole := make([]byte, numbered, numbered+len(text))
-	binary.BigEndian.PutUint64(whole[headSize:], g.sender)
-	binary.BigEndian.PutUint64(whole[headSize+8:], g.number)
-	whole = g.keys.seal(append(whole, text...))
+	sealed := make([]byte, datagramHeaderBytes, datagramHeaderBytes+len(encoded))
+	binary.BigEndian.PutUint64(sealed[headerBytes:], g.sender)
+	binary.BigEndian.PutUint64(sealed[headerBytes+8:], g.number)
+	sealed = g.keys.seal(append(sealed, encoded...))
 	g.counts.Sent++
-	g.counts.SentBytes += int64(len(whole))
-	g.out = append(g.out, outgoing{address, whole})
+	g.counts.SentBytes += int64(len(sealed))
+	g.outgoing = append(g.outgoing, datagram{address, sealed})
 }
 
-// Exchange asks for a stream once the lock is free.
-func (g *Gossip) Exchange(to member.Address) { g.streams = append(g.streams, string(to)) }
+// ExchangeState queues an exchange of the full state, which starts once the lock is released.
+func (g *Gossip) ExchangeState(to member.Address) { g.exchanges = append(g.exchanges, string(to)) }
 
-// WakeAt sets the one timer.
+// WakeAt sets the timer of the next tick.
 func (g *Gossip) WakeAt(at time.Duration) { g.timer.Reset(max(at-g.now(), 0)) }
 
-// Changed logs what is concluded of a member.
-func (g *Gossip) Changed(_ time.Duration, m member.One) {
+// StatusChanged logs the new status of a member.
+func (g *Gossip) StatusChanged(_ time.Duration, m member.Info) {
 	level := slog.LevelInfo
 	if m.Status == member.Gone {
 		level = slog.LevelWarn
 	}
-	g.lines = append(g.lines, func() {
+	g.logCalls = append(g.logCalls, func() {
 		g.log.Log(context.Background(), level, "member", "is", m.Status.String(), "who", string(m.Name), "life", int64(m.Life), "age", m.Age, "by", string(m.By))
 	})
 }
 
-// Turned logs the verdict on this instance.
-func (g *Gossip) Turned(_ time.Duration, c member.Contact, _ time.Duration) {
-	g.lines = append(g.lines, func() { g.log.Info("contact", "is", c.String()) })
+// ContactChanged logs the new contact of this instance.
+func (g *Gossip) ContactChanged(_ time.Duration, c member.Contact, _ time.Duration) {
+	g.logCalls = append(g.logCalls, func() { g.log.Info("contact", "is", c.String()) })
 }
 
-// Displaced logs that another has this name.
+// Displaced logs that a later instance runs under the name of this one.
 func (g *Gossip) Displaced(by member.Record) {
-	g.lines = append(g.lines, func() {
-		g.log.Error("another instance has this name: this one is no member any more", "address", string(by.Address), "life", int64(by.Life))
+	g.logCalls = append(g.logCalls, func() {
+		g.log.Error("a later instance runs under this name; this instance is no longer a member", "address", string(by.Address), "life", int64(by.Life))
 	})
 }
 
-// hear reads datagrams.
-func (g *Gossip) hear() {
+// receive reads datagrams and passes them to the member until the socket is closed.
+func (g *Gossip) receive() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := g.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			continue // an answer of the system about something sent: nobody listens there
+			continue // the system reports an earlier send to which nobody listens
 		}
-		text := buf[:n]
+		data := buf[:n]
 		g.do(func(now time.Duration) {
-			g.counts.Came++
-			g.counts.CameBytes += int64(n)
-			if !g.allowed[1].take(now, n, g.cfg.BytesPS) {
-				g.counts.Bounded++
+			g.counts.Received++
+			g.counts.ReceivedBytes += int64(n)
+			if !g.buckets[1].take(now, n, g.cfg.BytesPS) {
+				g.counts.RateLimited++
 				return
 			}
-			m, err := g.read(text)
+			m, err := g.read(data)
 			if err != nil {
-				g.counts.Refused++
+				g.counts.Rejected++
 				return
 			}
-			g.member.Heard(now, member.Address(from.String()), m)
+			g.member.HandleMessage(now, member.Address(from.String()), m)
 		})
 	}
 }
 
-// mostWindows are kept: some lives of each member of a fleet.
-const mostWindows = 4096
+// maxWindows limits the replay windows; it has room for several lives of each member of a fleet.
+const maxWindows = 4096
 
-func (g *Gossip) read(text []byte) (m member.Message, err error) {
-	body, err := g.keys.open(text)
+// read authenticates and decodes a datagram, and rejects replays.
+func (g *Gossip) read(data []byte) (m member.Message, err error) {
+	body, err := g.keys.open(data)
 	if err != nil {
 		return m, err
 	}
-	if len(body) < numbered-headSize {
-		return m, errShort
+	if len(body) < datagramHeaderBytes-headerBytes {
+		return m, errLength
 	}
 	sender, number := binary.BigEndian.Uint64(body), binary.BigEndian.Uint64(body[8:])
 	if m, err = decode(body[16:]); err != nil {
 		return m, err
 	}
-	if senderOf(string(m.From.Name), int64(m.From.Life)) != sender {
+	if senderNumber(string(m.From.Name), int64(m.From.Life)) != sender {
 		return m, errReplay
 	}
 	w := g.windows[sender]
 	if w == nil {
-		if len(g.order) >= mostWindows {
+		if len(g.order) >= maxWindows {
 			delete(g.windows, g.order[0])
 			g.order = g.order[1:]
 		}
@@ -308,131 +316,135 @@
 		g.windows[sender] = w
 		g.order = append(g.order, sender)
 	}
-	if !w.take(number) {
+	if !w.accept(number) {
 		return m, errReplay
 	}
 	return m, nil
 }
 
-// streamTime is for a whole exchange; mostStreams are under way at once.
-const streamTime, mostStreams = 5 * time.Second, 8
+// exchangeTimeout is for an entire state exchange; maxExchanges limits the exchanges under way at once.
+const exchangeTimeout, maxExchanges = 5 * time.Second, 8
 
-// exchange asks another for its full state, and gives its own. The answer bears the nonce of the question, so what it tells
-// left the other after this moment.
+// exchange requests the full state of another instance, and sends its own with the request. The answer repeats the nonce of the
+// request, which proves that it was sent after the request.
 func (g *Gossip) exchange(to string) {
-	if !g.enter() {
+	if !g.beginExchange() {
 		return
 	}
-	defer g.leave()
-	dialer := net.Dialer{Timeout: streamTime / 5, LocalAddr: &net.TCPAddr{IP: g.udp.LocalAddr().(*net.UDPAddr).IP}}
+	defer g.endExchange()
+	dialer := net.Dialer{Timeout: exchangeTimeout / 5, LocalAddr: &net.TCPAddr{IP: g.udp.LocalAddr().(*net.UDPAddr).IP}}
 	conn, err := dialer.Dial("tcp", to)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(streamTime))
+	_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	nonce := make([]byte, 16)
-	_, _ = rand.Read(nonce) // which never fails
-	asked := g.now()
-	if g.write(conn, state{Nonce: nonce}) != nil {
+	_, _ = rand.Read(nonce) // never fails
+	requestedAt := g.now()
+	if g.writeState(conn, state{Nonce: nonce}) != nil {
 		return
 	}
 	if answer, err := g.readState(conn); err == nil && string(answer.Answer) == string(nonce) {
-		g.take(answer, asked)
+		g.handleState(answer, requestedAt)
 	}
 }
 
-func (g *Gossip) take(s state, asked time.Duration) {
+// handleState passes a received state to the member. requestedAt is when it was requested; it is negative for the state in a request.
+func (g *Gossip) handleState(s state, requestedAt time.Duration) {
 	g.do(func(now time.Duration) {
-		g.counts.Streams++
-		g.member.Synced(now, asked, s.From.record(), records(s.All), ages(s.Ages))
+		g.counts.Exchanges++
+		g.member.HandleState(now, requestedAt, s.From.toMember(), fromRecords(s.Records), fromAges(s.Ages))
 	})
 }
 
-func (g *Gossip) enter() bool {
+// beginExchange reserves one of the maxExchanges, or returns false if all are taken or the instance is closed.
+func (g *Gossip) beginExchange() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.closed || g.open >= mostStreams {
+	if g.closed || g.openExchanges >= maxExchanges {
 		return false
 	}
-	g.open++
+	g.openExchanges++
 	return true
 }
 
-func (g *Gossip) leave() {
+// endExchange releases what beginExchange has reserved.
+func (g *Gossip) endExchange() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.open--
+	g.openExchanges--
 }
 
-// accept answers those who ask.
+// accept answers requests for the full state until the listener is closed.
 func (g *Gossip) accept() {
 	for {
 		conn, err := g.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			time.Sleep(10 * ms) // descriptors are short for the moment
+			time.Sleep(10 * ms) // probably out of file descriptors; wait until some are closed
 			continue
 		}
-		if !g.enter() {
+		if !g.beginExchange() {
 			conn.Close()
 			continue
 		}
 		go func() {
-			defer g.leave()
+			defer g.endExchange()
 			defer conn.Close()
-			_ = conn.SetDeadline(time.Now().Add(streamTime))
-			if asked, err := g.readState(conn); err == nil && len(asked.Nonce) > 0 {
-				g.take(asked, -1)
-				_ = g.write(conn, state{Answer: asked.Nonce})
+			_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
+			if request, err := g.readState(conn); err == nil && len(request.Nonce) > 0 {
+				g.handleState(request, -1)
+				_ = g.writeState(conn, state{Answer: request.Nonce})
 			}
 		}()
 	}
 }
 
-// write sends the full state with a head of its own: its length, then as a datagram without a number.
-func (g *Gossip) write(conn net.Conn, s state) error {
+// writeState sends the full state: the length in 4 bytes, then a sealed message as in a datagram, but without sender and number.
+func (g *Gossip) writeState(conn net.Conn, s state) error {
 	g.mu.Lock()
-	from, all, known := g.member.State(g.now())
-	s.From, s.All, s.Ages = toRecord(from), toRecords(all), toAges(known)
-	text, err := cbor.Marshal(s)
-	if err != nil || len(text) > mostState {
+	from, records, ages := g.member.State(g.now())
+	s.From, s.Records, s.Ages = toRecord(from), toRecords(records), toAges(ages)
+	encoded, err := cbor.Marshal(s)
+	if err != nil || len(encoded) > maxStateBytes {
 		g.mu.Unlock()
-		return errors.Join(err, errShort)
+		return errors.Join(err, errLength)
 	}
-	whole := g.keys.seal(append(make([]byte, headSize, headSize+len(text)), text...))
+	sealed := g.keys.seal(append(make([]byte, headerBytes, headerBytes+len(encoded)), encoded...))
 	g.mu.Unlock()
-	_, err = conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(whole))), whole...))
+	_, err = conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sealed))), sealed...))
 	return err
 }
 
+// readState reads, authenticates and checks what writeState has sent.
 func (g *Gossip) readState(conn net.Conn) (s state, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(conn, head[:]); err != nil {
+	var length [4]byte
+	if _, err := io.ReadFull(conn, length[:]); err != nil {
 		return s, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size > headSize+mostState {
-		return s, errShort
+	size := binary.BigEndian.Uint32(length[:])
+	if size > headerBytes+maxStateBytes {
+		return s, errLength
 	}
-	text, err := io.ReadAll(io.LimitReader(conn, int64(size))) // grows with what comes, not with what is said
-	if err != nil || len(text) < int(size) {
-		return s, errors.Join(err, errShort)
+	data, err := io.ReadAll(io.LimitReader(conn, int64(size))) // the buffer grows with the bytes received, not with the length announced
+	if err != nil || len(data) < int(size) {
+		return s, errors.Join(err, errLength)
 	}
 	g.mu.Lock()
-	body, err := g.keys.open(text)
+	body, err := g.keys.open(data)
 	if err != nil {
-		g.counts.Refused++
+		g.counts.Rejected++
 	}
 	g.mu.Unlock()
 	if err != nil {
 		return s, err
 	}
-	if err = reader().Unmarshal(body, &s); err != nil {
+	if err = decoder().Unmarshal(body, &s); err != nil {
 		return s, err
 	}
-	for _, r := range append([]record{s.From}, s.All...) {
+	for _, r := range append([]record{s.From}, s.Records...) {
 		if err := r.valid(); err != nil {
 			return s, err
 		}
@@ -440,37 +452,38 @@
 	return s, nil
 }
 
-// View is what an instance knows.
+// View is a snapshot of what an instance knows.
 type View struct {
 	Own     member.Record
 	Contact member.Contact
-	Since   time.Duration // how long it has been so
-	Members []member.One
-	Missed  []member.Missing
-	Fresh   time.Duration // up to which age words count as fresh
+	Since   time.Duration // how long Contact has been so
+	Members []member.Info
+	Missed  []member.BrokenLink
+	Fresh   time.Duration // up to which age a sign of life counts as fresh
 	Counts  Counts
 }
 
-// View gives what is known now.
+// View returns what is known now, or the zero View once the instance is closed.
 func (g *Gossip) View() (v View) {
 	g.do(func(now time.Duration) {
 		contact, since := g.member.Contact(now)
 		v = View{Own: g.member.Own(), Contact: contact, Since: now - since, Members: g.member.Members(now),
-			Missed: g.member.Missed(), Fresh: g.member.FreshWithin(), Counts: g.counts}
+			Missed: g.member.BrokenLinks(), Fresh: g.member.MaxFreshAge(), Counts: g.counts}
 	})
 	return v
 }
 
-// With runs f under the lock that guards what travels along, with the clock that members are told.
+// With runs f under the lock under which the methods of Config.Cargo are called, with the time on their clock. It does nothing
+// once the instance is closed.
 func (g *Gossip) With(f func(now time.Duration)) { g.do(f) }
 
-// Leave says good-bye and ends it.
+// Leave announces to other members that this instance leaves, and closes it.
 func (g *Gossip) Leave() {
 	g.do(func(now time.Duration) { g.member.Leave(now) })
 	g.Close()
 }
 
-// Close ends it without a word.
+// Close stops the instance without announcing it.
 func (g *Gossip) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/member/gossip/gossip_test.go
+++ b/member/gossip/gossip_test.go
@@ -16,29 +16,31 @@
 	"yarrowbarrow/decide/member"
 )
 
-var everything = member.Message{Kind: member.Ack, Seq: 1<<63 + 5, From: member.Record{Name: "a", Address: "10.0.0.1:1", Life: 99, Turn: 3, Status: member.Alive},
-	To: "b", About: member.Record{Name: "c", Address: "10.0.0.3:1", Life: 1, Status: member.Suspect, By: "a"},
-	News:    []member.Record{{Name: "d", Address: "x", Life: 2, Status: member.Gone, By: "e"}, {Name: "f", Life: 3, Status: member.Alive}},
-	Ages:    []member.Age{{Of: 1 << 31, Old: 0}, {Of: 2, Old: 1500 * ms}},
-	Parcels: []member.Parcel{{Cargo: 7, Data: []byte("x")}}, Misses: []uint32{1, 1 << 31}}
-
-// TestMessage: what is written is what is read; ages are rounded up, never down.
+// fullMessage is a message with all fields set.
+var fullMessage = member.Message{Kind: member.Ack, Seq: 1<<63 + 5, From: member.Record{Name: "a", Address: "10.0.0.1:1", Life: 99, Turn: 3, Status: member.Alive},
+	To: "b", Target: member.Record{Name: "c", Address: "10.0.0.3:1", Life: 1, Status: member.Suspect, By: "a"},
+	Updates:  []member.Record{{Name: "d", Address: "x", Life: 2, Status: member.Gone, By: "e"}, {Name: "f", Life: 3, Status: member.Alive}},
+	Ages:     []member.Age{{Hash: 1 << 31, Age: 0}, {Hash: 2, Age: 1500 * ms}},
+	Payloads: []member.Payload{{Type: 7, Data: []byte("x")}}, Unreachable: []uint32{1, 1 << 31}}
+
+// TestMessage checks that decoding returns what was encoded, and that ages are rounded up: rounded down, an age would claim that
+// a member is fresher than it is.
 func TestMessage(t *testing.T) {
-	text, err := encode(everything)
+	text, err := encode(fullMessage)
 	if err != nil {
 		t.Fatal(err)
 	}
 	back, err := decode(text)
-	if d := cmp.Diff(everything, back); d != "" || err != nil {
+	if d := cmp.Diff(fullMessage, back); d != "" || err != nil {
 		t.Error(d, err)
 	}
-	text, _ = encode(member.Message{From: everything.From, Ages: []member.Age{{Of: 1, Old: ms + 1}}})
-	if back, _ := decode(text); back.Ages[0].Old != 2*ms {
+	text, _ = encode(member.Message{From: fullMessage.From, Ages: []member.Age{{Hash: 1, Age: ms + 1}}})
+	if back, _ := decode(text); back.Ages[0].Age != 2*ms {
 		t.Error(back.Ages)
 	}
 }
 
-// TestVersions: a later version's fields are passed over, and an earlier one's absent ones are zero.
+// TestVersions checks compatibility between versions: unknown fields of a later version are skipped, absent fields are zero.
 func TestVersions(t *testing.T) {
 	later, err := cbor.Marshal(map[int]any{1: 1, 2: 5, 3: map[int]any{1: "a", 2: "10.0.0.1:1", 3: 9, 99: "new"}, 42: []string{"new"}})
 	if err != nil {
@@ -50,31 +52,31 @@
 	}
 }
 
-// TestFaulty: what can't be is refused, whatever it is.
+// TestFaulty checks that invalid and truncated messages are rejected.
 func TestFaulty(t *testing.T) {
-	for name, change := range map[string]func(*message){
-		"no name":     func(m *message) { m.From.Name = "" },
-		"long name":   func(m *message) { m.From.Name = string(bytes.Repeat([]byte("x"), 65)) },
-		"status":      func(m *message) { m.News = []record{{Name: "x", Status: 9}} },
-		"status less": func(m *message) { m.About = &record{Name: "x", Status: -1} },
+	for name, corrupt := range map[string]func(*message){
+		"message without a sender name accepted":          func(m *message) { m.From.Name = "" },
+		"message with a name of 65 bytes accepted":        func(m *message) { m.From.Name = string(bytes.Repeat([]byte("x"), 65)) },
+		"update with a status above the highest accepted": func(m *message) { m.Updates = []record{{Name: "x", Status: 9}} },
+		"target with a negative status accepted":          func(m *message) { m.Target = &record{Name: "x", Status: -1} },
 	} {
 		m := message{Kind: 1, From: record{Name: "a"}}
-		change(&m)
+		corrupt(&m)
 		text, _ := cbor.Marshal(m)
 		if _, err := decode(text); err == nil {
 			t.Error(name)
 		}
 	}
-	whole, _ := encode(everything)
-	for n := range whole { // cut off anywhere
+	whole, _ := encode(fullMessage)
+	for n := range whole { // truncated at each length
 		if _, err := decode(whole[:n]); err == nil {
-			t.Error("cut off at ", n)
+			t.Error("accepted a message truncated to this many bytes: ", n)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	text, _ := encode(everything)
+	text, _ := encode(fullMessage)
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, err := decode(data); err == nil {
@@ -85,7 +87,7 @@
 	})
 }
 
-// TestWindow: each number once, in any order within 64.
+// TestWindow checks that the replay window accepts each number once, in any order among the newest 64, and no older ones.
 func TestWindow(t *testing.T) {
 	var w window
 	for _, c := range []struct {
@@ -93,19 +95,20 @@
 		fresh bool
 	}{{0, false}, {5, true}, {5, false}, {3, true}, {3, false}, {70, true}, {6, false}, {7, true}, {69, true}, {69, false}, {1000, true},
 		{70, false}, {937, true}, {936, false}, {1 << 40, true}, {1000, false}} {
-		if w.take(c.n) != c.fresh {
+		if w.accept(c.n) != c.fresh {
 			t.Error(c.n, w)
 		}
 	}
 }
 
-func instance(t *testing.T, name, key string, seeds ...string) *Gossip {
+// startInstance starts an instance that is closed when the test ends.
+func startInstance(t *testing.T, name, key string, seeds ...string) *Gossip {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(file, []byte(key+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	listen := free(t)
+	listen := freeAddress(t)
 	g, err := Start(Config{Name: name, Listen: listen, Seeds: seeds, KeyFile: file, Period: 50 * ms, Most: 10, BytesPS: 100_000},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -115,7 +118,8 @@
 	return g
 }
 
-func free(t *testing.T) string {
+// freeAddress returns a TCP address on the loopback interface that was free a moment ago.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,26 +129,28 @@
 	return ln.Addr().String()
 }
 
-func until(t *testing.T, what string, so func() bool) {
+// waitUntil waits until a condition holds. After 20 s it fails the test with the given message.
+func waitUntil(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for from := time.Now(); !so(); time.Sleep(5 * ms) {
+	for from := time.Now(); !condition(); time.Sleep(5 * ms) {
 		if time.Since(from) > 20*time.Second {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
 
 func alive(g *Gossip, name member.Name) bool {
-	return slices.ContainsFunc(g.View().Members, func(m member.One) bool { return m.Name == name && m.Status == member.Alive })
+	return slices.ContainsFunc(g.View().Members, func(m member.Info) bool { return m.Name == name && m.Status == member.Alive })
 }
 
 const oldKey, newKey = "the key of the fleet before", "the key of the fleet from now on"
 
-// TestKeys: a fleet changes its key without a moment in which one does not hear another; who has only the old one is out.
+// TestKeys checks that a fleet can rotate its key without any datagram being rejected, that an instance with only the old key
+// cannot join afterwards, and that an invalid key file leaves the keys unchanged.
 func TestKeys(t *testing.T) {
-	a := instance(t, "a", oldKey)
-	b := instance(t, "b", oldKey, a.cfg.Listen)
-	until(t, "they find each other", func() bool { return alive(a, "b") && alive(b, "a") })
+	a := startInstance(t, "a", oldKey)
+	b := startInstance(t, "b", oldKey, a.cfg.Listen)
+	waitUntil(t, "a and b do not see each other as alive", func() bool { return alive(a, "b") && alive(b, "a") })
 	for _, step := range []string{oldKey + "\n" + newKey, newKey + "\n" + oldKey, newKey} {
 		for _, g := range []*Gossip{a, b} {
 			if err := os.WriteFile(g.cfg.KeyFile, []byte(step), 0o600); err != nil {
@@ -154,13 +160,13 @@
 				t.Fatal(err)
 			}
 			time.Sleep(100 * ms)
-			if !alive(a, "b") || !alive(b, "a") || a.View().Counts.Refused+b.View().Counts.Refused > 0 {
+			if !alive(a, "b") || !alive(b, "a") || a.View().Counts.Rejected+b.View().Counts.Rejected > 0 {
 				t.Fatal(a.View(), b.View())
 			}
 		}
 	}
-	c := instance(t, "c", oldKey, a.cfg.Listen)
-	until(t, "refused", func() bool { return a.View().Counts.Refused > 0 })
+	c := startInstance(t, "c", oldKey, a.cfg.Listen)
+	waitUntil(t, "a has rejected no datagram under the old key", func() bool { return a.View().Counts.Rejected > 0 })
 	if alive(a, "c") || len(c.View().Members) > 0 {
 		t.Error(a.View(), c.View())
 	}
@@ -168,20 +174,20 @@
 		t.Fatal(err)
 	}
 	if err := a.ReadKeys(); err == nil || !alive(a, "b") {
-		t.Error("a faulty key file: ", err)
+		t.Error("ReadKeys with an invalid key file, or b not alive afterwards: ", err)
 	}
 }
 
-// TestReplay: a datagram that comes again is not taken, and one that was changed is not of the key.
+// TestReplay checks that a datagram is rejected when it arrives a second time, and when any of its bytes was changed.
 func TestReplay(t *testing.T) {
-	g := instance(t, "g", oldKey)
+	g := startInstance(t, "g", oldKey)
 	text, _ := encode(member.Message{Kind: member.Ping, Seq: 1, From: member.Record{Name: "x", Address: "127.0.0.1:1", Life: 5}})
-	whole := make([]byte, numbered, 200)
-	sender := senderOf("x", 5)
+	whole := make([]byte, datagramHeaderBytes, 200)
+	sender := senderNumber("x", 5)
 	for n := range 8 {
-		whole[headSize+n] = byte(sender >> (56 - 8*n))
+		whole[headerBytes+n] = byte(sender >> (56 - 8*n))
 	}
-	whole[headSize+15] = 1
+	whole[headerBytes+15] = 1
 	whole = keys{[]byte(oldKey)}.seal(append(whole, text...))
 	if _, err := g.read(whole); err != nil {
 		t.Fatal(err)
@@ -193,16 +199,16 @@
 		changed := bytes.Clone(whole)
 		changed[n] ^= 1
 		if _, err := g.read(changed); err == nil {
-			t.Error("changed at ", n)
+			t.Error("accepted a datagram changed at byte ", n)
 		}
 	}
 }
 
-// TestBounds: what floods is passed over, and what the instance itself says is within its bound.
+// TestBounds checks that an instance under a flood of datagrams reads no more than its configured bytes per second.
 func TestBounds(t *testing.T) {
-	g := instance(t, "g", oldKey)
-	other := instance(t, "o", oldKey, g.cfg.Listen)
-	until(t, "they find each other", func() bool { return alive(g, "o") && alive(other, "g") })
+	g := startInstance(t, "g", oldKey)
+	other := startInstance(t, "o", oldKey, g.cfg.Listen)
+	waitUntil(t, "g and o do not see each other as alive", func() bool { return alive(g, "o") && alive(other, "g") })
 	conn, err := net.Dial("udp", g.cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -213,10 +219,10 @@
 		_, _ = conn.Write(make([]byte, 1000))
 	}
 	now, length := g.View().Counts, time.Since(from).Seconds()
-	if now.Bounded == before.Bounded {
-		t.Skip("this machine sends no flood") // too slow to come near the bound
+	if now.RateLimited == before.RateLimited {
+		t.Skip("this machine sends too slowly to exceed the limit")
 	}
-	if taken := now.Refused - before.Refused; float64(taken)*1000 > (length+2.5)*100_000 {
-		t.Errorf("%d read in %.1f s", taken, length)
+	if processed := now.Rejected - before.Rejected; float64(processed)*1000 > (length+2.5)*100_000 {
+		t.Errorf("read %d datagrams of 1,000 bytes in %.1f s, over the limit", processed, length)
 	}
 }
