--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -177,7 +177,7 @@
 	Record
 	Age         time.Duration // upper bound on the age of its newest sign of life; negative if there is none
 	Hears       time.Duration // time since it last proved to receive this instance's messages directly; negative if never
-	Direct      time.Duration // time since a message of its own last arrived, which may have been in transit for long; negative if never
+	Direct      time.Duration // time since its last message arrived, however long that was in transit; negative if never
 	StatusSince time.Duration // time at which the status was set
 }
 
@@ -250,8 +250,9 @@
 // New returns an instance that does nothing until Start is called. Equal seeds replay equal decisions.
 func New(host Host, settings Settings, seed int64) *Member {
 	settings.defaults()
-	return &Member{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)), peers: map[Name]*peer{}, requestedAt: map[Seq]time.Duration{},
-		relayed: map[Seq]relayedPing{}, own: Record{Name: settings.Name, Address: settings.Address, Life: settings.Life, Status: Alive}}
+	return &Member{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)), peers: map[Name]*peer{},
+		requestedAt: map[Seq]time.Duration{}, relayed: map[Seq]relayedPing{},
+		own: Record{Name: settings.Name, Address: settings.Address, Life: settings.Life, Status: Alive}}
 }
 
 // Start pings the seeds and schedules the first Tick.
@@ -509,7 +510,8 @@
 	minPeriods := 3 * math.Max(1, math.Log10(float64(len(m.names)+1)))
 	maxPeriods := 3 * minPeriods
 	fraction := math.Log(float64(confirmations+1)) / math.Log(float64(m.settings.IndirectProbes+1))
-	return max(time.Duration(math.Max(minPeriods, maxPeriods-(maxPeriods-minPeriods)*fraction)*float64(m.settings.Period)), 2*p.ageWhenSuspected+3*m.settings.Period)
+	return max(time.Duration(math.Max(minPeriods, maxPeriods-(maxPeriods-minPeriods)*fraction)*float64(m.settings.Period)),
+		2*p.ageWhenSuspected+3*m.settings.Period)
 }
 
 // expirePeers ends suspicions that timed out and removes peers that are kept no longer. An instance that is Deaf or Mute extends
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -37,12 +37,12 @@
 func formedWorld(t *testing.T, size int, seed int64) *world {
 	t.Helper()
 	w := newWorld(t, size, seed)
-	w.until(30*second, func() bool { return w.now > 2*second && w.allKnow() == nil })
+	w.runUntil(30*second, func() bool { return w.now > 2*second && w.checkConverged() == nil })
 	return w
 }
 
-// TestKilled kills one of five instances and starts it again later: the others must declare it gone, and then have its new life as
-// alive. The trace of all decisions must equal the expected one.
+// TestKilled kills one of five instances and starts it again later: the others must declare it gone, and then have its new life
+// as alive. The trace of all decisions must equal the expected one.
 func TestKilled(t *testing.T) {
 	w := newWorld(t, 5, 1)
 	w.traced = true
@@ -52,7 +52,7 @@
 	w.instances[3].start()
 	w.run(45 * second)
 	w.checkTrace()
-	if err := w.allKnow(); err != nil {
+	if err := w.checkConverged(); err != nil {
 		t.Error(err)
 	}
 }
@@ -69,19 +69,19 @@
 		{"three", [][]int{indexRange(0, 10), indexRange(10, 16), indexRange(16, 20)}},
 		{"one", [][]int{indexRange(0, 19), indexRange(19, 20)}},
 	} {
-		for _, length := range []time.Duration{second, 10 * second, 60 * second} {
+		for _, duration := range []time.Duration{second, 10 * second, 60 * second} {
 			w := formedWorld(t, 20, 3)
 			w.partition(c.parts...)
-			w.run(w.now + length)
+			w.run(w.now + duration)
 			for _, part := range c.parts {
 				for _, a := range part {
 					for _, b := range part {
 						if _, gone := w.instances[a].gone[nameOf(b)]; gone {
-							t.Errorf("%s, %v: %d has declared %d of its own part gone", c.name, length, a, b)
+							t.Errorf("%s, %v: %d has declared %d of its own part gone", c.name, duration, a, b)
 						}
 					}
 				}
-				if length < 60*second {
+				if duration < 60*second {
 					continue
 				}
 				count, want := w.contacts(part), Partial
@@ -90,14 +90,14 @@
 				} else if len(part) == 1 {
 					want = Deaf
 				}
-				// Other parts are not checked: members of the far side still count in Contact for a minute after they are gone.
+				// Other parts are not checked: members of the far side still count for a minute after they are gone.
 				if count[want] != len(part) && want != Partial {
-					t.Errorf("%s, %v: a part of %d reports %v", c.name, length, len(part), count)
+					t.Errorf("%s, %v: a part of %d reports %v", c.name, duration, len(part), count)
 				}
 			}
 			w.repairLinks()
-			took := w.until(120*second, func() bool { return w.allKnow() == nil })
-			t.Logf("%s, %v: healed after %v", c.name, length, took)
+			took := w.runUntil(120*second, func() bool { return w.checkConverged() == nil })
+			t.Logf("%s, %v: healed after %v", c.name, duration, took)
 		}
 	}
 }
@@ -117,20 +117,20 @@
 		w.cut = c.cut
 		w.run(w.now + (DeafAfterPeriods+3)*second)
 		if count := w.contacts([]int{7}); count[c.want] != 1 {
-			t.Errorf("%s: %v", c.name, count)
+			t.Errorf("%s: wrong contact: %v", c.name, count)
 		}
 		w.run(w.now + 60*second)
 		if len(w.instances[7].gone) > 0 {
 			t.Errorf("%s: it has declared members gone: %v", c.name, w.instances[7].gone)
 		}
 		w.repairLinks()
-		w.until(120*second, func() bool { return w.allKnow() == nil })
+		w.runUntil(120*second, func() bool { return w.checkConverged() == nil })
 	}
 }
 
-// TestChain arranges a fleet as a chain in which each instance reaches only its neighbours: nobody may be declared gone, as signs of
-// life are passed on. With a single cut link, all instances must know that link as broken, and no other, and forget it once it
-// is repaired.
+// TestChain arranges a fleet as a chain in which each instance reaches only its neighbours: nobody may be declared gone, as signs
+// of life are passed on. With a single cut link, all instances must know that link as broken, and no other, and forget it once
+// it is repaired.
 func TestChain(t *testing.T) {
 	for seed := range int64(10) {
 		w := formedWorld(t, 6, seed)
@@ -152,7 +152,7 @@
 	for _, i := range w.instances {
 		for _, link := range i.member.BrokenLinks() {
 			if link != (BrokenLink{nameOf(3), nameOf(9)}) && link != (BrokenLink{nameOf(9), nameOf(3)}) {
-				t.Errorf("%d says that %v does not carry", i.index, link)
+				t.Errorf("%d reports a broken link that works: %v", i.index, link)
 			}
 		}
 		want := 2
@@ -167,25 +167,25 @@
 	w.run(w.now + 60*second)
 	for _, i := range w.instances {
 		if links := i.member.BrokenLinks(); len(links) > 0 {
-			t.Errorf("%d says that %v does not carry", i.index, links)
+			t.Errorf("%d reports a broken link that works: %v", i.index, links)
 		}
 	}
 }
 
-// TestBad loses 30% of the messages and duplicates 20% for two minutes, then delays and reorders them by up to 2 s for one minute:
-// nobody may be declared gone.
+// TestBad loses 30% of the messages and duplicates 20% for two minutes, then delays and reorders them by up to 2 s for one
+// minute: nobody may be declared gone.
 func TestBad(t *testing.T) {
 	w := formedWorld(t, 20, 11)
 	w.loss, w.duplication = 0.3, 0.2
-	wrong := 0
+	goneSeconds := 0
 	for range 120 {
 		w.run(w.now + second)
 		for _, i := range w.instances {
-			wrong += len(i.gone)
+			goneSeconds += len(i.gone)
 		}
 	}
-	if wrong > 0 {
-		t.Errorf("30%% loss: running members were declared gone for %d member seconds", wrong)
+	if goneSeconds > 0 {
+		t.Errorf("30%% loss: running members were declared gone for %d member seconds", goneSeconds)
 	}
 	w.loss = 0
 	w.delay = func() time.Duration { return time.Duration(w.rng.Int63n(int64(2 * second))) }
@@ -197,32 +197,34 @@
 	}
 }
 
-// TestStopped pauses an instance for 3 to 30 s, as SIGSTOP does. On resuming, it must know that its information is old, and it must
-// accuse nobody, even if the messages that arrived during the pause were lost.
+// TestStopped pauses an instance for 3 to 30 s, as SIGSTOP does. On resuming, it must know that its information is old, and it
+// must accuse nobody, even if the messages that arrived during the pause were lost.
 func TestStopped(t *testing.T) {
 	w := formedWorld(t, 20, 13)
-	for n, length := range []time.Duration{3 * second, 10 * second, 30 * second, 3 * second, 4 * second, 5 * second, 10 * second, 30 * second} {
+	for n, duration := range []time.Duration{3 * second, 10 * second, 30 * second, 3 * second, 4 * second, 5 * second, 10 * second,
+		30 * second} {
 		if n > 2 { // messages that arrive during the pause are lost
 			w.pausedBuffer = 0
 			w.run(w.now + time.Duration(n)*170*time.Millisecond)
 		}
 		w.instances[4].pause()
-		w.run(w.now + length)
+		w.run(w.now + duration)
 		for _, info := range w.instances[4].member.Members(w.instances[4].clock()) { // before it has received anything
-			if info.Age < length {
-				t.Fatalf("age is %v after a pause of %v", info.Age, length)
+			if info.Age < duration {
+				t.Fatalf("age is %v after a pause of %v", info.Age, duration)
 			}
 		}
-		if c, _ := w.instances[4].member.Contact(w.instances[4].clock()); length > DeafAfterPeriods*second && c != Deaf {
-			t.Errorf("after a pause of %v it reports %v", length, c)
+		if c, _ := w.instances[4].member.Contact(w.instances[4].clock()); duration > DeafAfterPeriods*second && c != Deaf {
+			t.Errorf("after a pause of %v it reports %v", duration, c)
 		}
 		w.instances[4].suspectedCount = 0
 		w.instances[4].resume()
 		w.run(w.now + 20*second)
 		if len(w.instances[4].gone) > 0 || w.instances[4].suspectedCount > 0 {
-			t.Errorf("after a pause of %v it has declared members gone: %v, and suspected %d", length, w.instances[4].gone, w.instances[4].suspectedCount)
+			t.Errorf("after a pause of %v it has declared members gone: %v, and suspected %d", duration, w.instances[4].gone,
+				w.instances[4].suspectedCount)
 		}
-		w.until(60*second, func() bool { return w.allKnow() == nil })
+		w.runUntil(60*second, func() bool { return w.checkConverged() == nil })
 	}
 }
 
@@ -233,7 +235,7 @@
 		w := formedWorld(t, 20, seed)
 		w.cut = func(from, to int) bool { return from == 7 || to == 7 }
 		i := w.instances[4]
-		w.until(30*second, func() bool { return i.member.peers[nameOf(7)].Status == Suspect })
+		w.runUntil(30*second, func() bool { return i.member.peers[nameOf(7)].Status == Suspect })
 		w.run(w.now + 2*second)
 		if i.member.peers[nameOf(7)].Status != Suspect {
 			continue
@@ -261,11 +263,11 @@
 	for n := 20; n < 40; n++ {
 		w.instances[n].kill()
 	}
-	t.Log("failure of half of the fleet known after ", w.until(60*second, func() bool { return w.allKnow() == nil }))
+	t.Log("failure of half of the fleet known after ", w.runUntil(60*second, func() bool { return w.checkConverged() == nil }))
 	for n := 20; n < 40; n++ {
 		w.instances[n].start()
 	}
-	t.Log("return of half of the fleet known after ", w.until(60*second, func() bool { return w.allKnow() == nil }))
+	t.Log("return of half of the fleet known after ", w.runUntil(60*second, func() bool { return w.checkConverged() == nil }))
 	for step := range 10 { // rolling restart of a tenth per second; instance 1 crashes every second
 		w.instances[1].kill()
 		w.instances[1].start()
@@ -275,11 +277,11 @@
 		}
 		w.run(w.now + second)
 	}
-	t.Log("all known after a rolling restart, within ", w.until(60*second, func() bool { return w.allKnow() == nil }))
+	t.Log("all known after a rolling restart, within ", w.runUntil(60*second, func() bool { return w.checkConverged() == nil }))
 }
 
-// TestLeave has an instance leave: after 10 s at least 8 of the 11 others must have it as Left; the rest may suspect it or have declared
-// it gone.
+// TestLeave has an instance leave: after 10 s at least 8 of the 11 others must have it as Left; the rest may suspect it or have
+// declared it gone.
 func TestLeave(t *testing.T) {
 	w := formedWorld(t, 12, 19)
 	w.instances[5].member.Leave(w.instances[5].clock())
@@ -313,7 +315,7 @@
 	liar := w.instances[9]
 	suspected, pairs := 0, 0
 	for round := range 300 {
-		w.at(w.now+time.Duration(round)*100*time.Millisecond, func() {
+		w.schedule(w.now+time.Duration(round)*100*time.Millisecond, func() {
 			for n := range 9 {
 				msg := Message{Kind: Ping, Seq: 1, From: liar.member.own, To: nameOf(n)}
 				for other := range 9 {
@@ -350,8 +352,8 @@
 	}
 }
 
-// TestBadLarge loses 30% of the messages of a fleet of 100, which is too large for the ages of all members to fit into an answer: no
-// reachable member may be declared gone.
+// TestBadLarge loses 30% of the messages of a fleet of 100, which is too large for the ages of all members to fit into an
+// answer: no reachable member may be declared gone.
 func TestBadLarge(t *testing.T) {
 	w := newWorld(t, 100, 5)
 	w.unchecked = true
@@ -360,13 +362,13 @@
 	w.run(w.now + 40*second)
 	for _, i := range w.instances {
 		if i.wrongGoneCount > 0 {
-			t.Errorf("%d declared %d gone", i.index, i.wrongGoneCount)
+			t.Errorf("%d wrongly declared members gone: %d times", i.index, i.wrongGoneCount)
 		}
 	}
 }
 
-// TestBadSmall loses 30% of the messages of fifty fleets of eight for 40 s: no reachable member may be declared gone. In such a small
-// fleet each instance has fewer others through which it can hear of a member.
+// TestBadSmall loses 30% of the messages of fifty fleets of eight for 40 s: no reachable member may be declared gone. In such a
+// small fleet each instance has fewer others through which it can hear of a member.
 func TestBadSmall(t *testing.T) {
 	for seed := range int64(50) {
 		w := formedWorld(t, 8, seed)
@@ -374,7 +376,7 @@
 		w.run(w.now + 40*second)
 		for _, i := range w.instances {
 			if i.wrongGoneCount > 0 {
-				t.Errorf("seed %d: %d declared %d gone", seed, i.index, i.wrongGoneCount)
+				t.Errorf("seed %d: %d wrongly declared members gone: %d times", seed, i.index, i.wrongGoneCount)
 			}
 		}
 	}
--- a/decide/member/seeds_test.go
+++ b/decide/member/seeds_test.go
@@ -29,19 +29,19 @@
 		if i.running {
 			i.pause()
 		}
-		return fmt.Sprint("stop ", i.index)
+		return fmt.Sprint("pause ", i.index)
 	case 3:
 		if i.running && i.paused {
 			i.resume()
 		}
-		return fmt.Sprint("go on ", i.index)
+		return fmt.Sprint("resume ", i.index)
 	case 4: // random partition
 		side := make([]int, len(w.instances))
 		for n := range side {
 			side[n] = rng.Intn(3)
 		}
 		w.cut = func(from, to int) bool { return side[from] != side[to] }
-		return fmt.Sprint("sides ", side)
+		return fmt.Sprint("partition ", side)
 	case 5: // random links cut in one direction
 		cut := map[[2]int]bool{}
 		for a := range w.instances {
@@ -50,7 +50,7 @@
 			}
 		}
 		w.cut = func(from, to int) bool { return cut[[2]int{from, to}] }
-		return "ways"
+		return "cut links"
 	case 6:
 		w.loss, w.duplication = rng.Float64()/2, rng.Float64()/2
 		return fmt.Sprintf("loss %.2f", w.loss)
@@ -61,7 +61,7 @@
 	}
 	w.repairLinks()
 	w.loss, w.duplication = 0, 0
-	return "whole"
+	return "repair"
 }
 
 // TestSeeds injects random faults into fleets of random size. After each step no age may be too low and no instance may keep more
@@ -90,17 +90,17 @@
 			}
 		}
 		from := w.now
-		for w.allKnow() != nil && w.now < from+3*time.Minute {
+		for w.checkConverged() != nil && w.now < from+3*time.Minute {
 			w.run(w.now + 100*time.Millisecond)
 		}
-		if err := w.allKnow(); err != nil {
+		if err := w.checkConverged(); err != nil {
 			t.Fatalf("seed %d: %v; %q", seed, err, faults)
 		}
 	}
 }
 
-// checkIsolated cuts one running instance off, and leaves other faults in place. The instance must report itself Deaf or Alone in time,
-// and declare nobody gone from then on.
+// checkIsolated cuts one running instance off, and leaves other faults in place. The instance must report itself Deaf or Alone
+// in time, and declare nobody gone from then on.
 func (w *world) checkIsolated(faults []string) {
 	var running []*instance
 	for _, i := range w.instances {
@@ -152,7 +152,7 @@
 	for _, size := range sizes {
 		w := newWorld(t, size, 1)
 		w.unchecked = true
-		formed := w.until(time.Duration(20+size/4)*second, func() bool { return w.now > second && w.allKnow() == nil })
+		formed := w.runUntil(time.Duration(20+size/4)*second, func() bool { return w.now > second && w.checkConverged() == nil })
 		w.run(w.now + 20*second)
 		sent := w.sent
 		from := w.now
@@ -177,11 +177,12 @@
 		if len(detectedAfter) < size-1 {
 			t.Fatalf("fleet of %d: only %d instances know of the failure", size, len(detectedAfter))
 		}
-		wrong := 0
+		wrongGone := 0
 		for _, i := range w.instances {
-			wrong += i.wrongGoneCount
+			wrongGone += i.wrongGoneCount
 		}
 		t.Logf("%4d: formed after %v; %.1f messages per second and instance; age of signs of life %v (median), %v (99%%); failure known after %v (first), %v (median), %v (last); %d wrongly declared gone",
-			size, formed, perSecond, ages[len(ages)/2].Round(10*time.Millisecond), ages[len(ages)*99/100].Round(10*time.Millisecond), detectedAfter[0], detectedAfter[len(detectedAfter)/2], detectedAfter[len(detectedAfter)-1], wrong)
+			size, formed, perSecond, ages[len(ages)/2].Round(10*time.Millisecond), ages[len(ages)*99/100].Round(10*time.Millisecond),
+			detectedAfter[0], detectedAfter[len(detectedAfter)/2], detectedAfter[len(detectedAfter)-1], wrongGone)
 	}
 }
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -70,7 +70,8 @@
 		}
 		return now - t
 	}
-	return Info{Record: p.Record, Age: elapsed(p.lastAlive), Hears: elapsed(p.heardUs), Direct: elapsed(p.lastReceived), StatusSince: p.statusSince}
+	return Info{Record: p.Record, Age: elapsed(p.lastAlive), Hears: elapsed(p.heardUs), Direct: elapsed(p.lastReceived),
+		StatusSince: p.statusSince}
 }
 
 // Members returns all other members that are known, sorted by name.
--- a/decide/member/world_test.go
+++ b/decide/member/world_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// world simulates a fleet on a virtual clock, with a network that a test can disturb. The clocks of the instances differ by random
-// offsets.
+// world simulates a fleet on a virtual clock, with a network that a test can disturb. The clocks of the instances differ by
+// random offsets.
 type world struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -31,6 +31,7 @@
 	pausedBuffer int // messages queued for a paused instance; further ones are lost
 }
 
+// instance is a simulated process and the Host of its Member.
 type instance struct {
 	*world
 	index          int
@@ -70,8 +71,8 @@
 	return last
 }
 
-// at schedules an event, not before the present.
-func (w *world) at(when time.Duration, do func()) {
+// schedule adds an event, not before the present.
+func (w *world) schedule(when time.Duration, do func()) {
 	w.eventCount++
 	heap.Push(&w.events, event{max(when, w.now), w.eventCount, do})
 }
@@ -103,7 +104,7 @@
 		i := &instance{world: w, index: n, skew: time.Duration(w.rng.Int63n(int64(1000 * time.Hour)))}
 		w.instances = append(w.instances, i)
 		w.byAddress[Address(nameOf(n))] = i
-		w.at(time.Duration(w.rng.Intn(500))*time.Millisecond, i.start)
+		w.schedule(time.Duration(w.rng.Intn(500))*time.Millisecond, i.start)
 	}
 	return w
 }
@@ -164,7 +165,7 @@
 			continue
 		}
 		from := Address(nameOf(i.index))
-		w.at(w.now+w.delay(), func() {
+		w.schedule(w.now+w.delay(), func() {
 			other.deliver(other.life, func() { other.member.HandleMessage(other.clock(), from, m) })
 		})
 	}
@@ -172,19 +173,19 @@
 
 func (i *instance) ExchangeState(to Address) {
 	w, other := i.world, i.byAddress[to]
-	asked, life := i.clock(), i.life
+	requestedAt, life := i.clock(), i.life
 	if other == nil || w.cut(i.index, other.index) || w.cut(other.index, i.index) {
 		return
 	}
 	i.lastSent = w.now
-	from, all, ages := i.member.State(i.clock())
-	w.at(w.now+w.delay(), func() {
+	from, records, ages := i.member.State(i.clock())
+	w.schedule(w.now+w.delay(), func() {
 		other.deliver(other.life, func() {
 			other.lastSent = w.now
-			other.member.HandleState(other.clock(), -1, from, all, ages)
-			from, all, ages := other.member.State(other.clock())
-			w.at(w.now+w.delay(), func() {
-				i.deliver(life, func() { i.member.HandleState(i.clock(), asked, from, all, ages) })
+			other.member.HandleState(other.clock(), -1, from, records, ages)
+			from, records, ages := other.member.State(other.clock())
+			w.schedule(w.now+w.delay(), func() {
+				i.deliver(life, func() { i.member.HandleState(i.clock(), requestedAt, from, records, ages) })
 			})
 		})
 	})
@@ -193,7 +194,7 @@
 func (i *instance) WakeAt(at time.Duration) {
 	i.wakeCount++
 	life, wake := i.life, i.wakeCount
-	i.world.at(at-i.skew, func() {
+	i.world.schedule(at-i.skew, func() {
 		if i.wakeCount == wake && i.paused && i.running && i.life == life { // a timer is not lost while paused, unlike messages
 			i.queued = append(i.queued, func() { i.deliver(life, func() { i.member.Tick(i.clock()) }) })
 		} else if i.wakeCount == wake {
@@ -208,7 +209,8 @@
 		i.suspectedCount++
 	}
 	if m.Status == Gone {
-		if other := i.byAddress[m.Address]; other != nil && other.running && !i.cut(i.index, other.index) && !i.cut(other.index, i.index) && !other.paused {
+		if other := i.byAddress[m.Address]; other != nil && other.running && !i.cut(i.index, other.index) &&
+			!i.cut(other.index, i.index) && !other.paused {
 			i.wrongGoneCount++
 		}
 		i.gone[m.Name] = i.now
@@ -223,7 +225,7 @@
 
 func (i *instance) Displaced(by Record) {
 	i.displaced = true
-	i.tracef("%s: another one has this name", nameOf(i.index))
+	i.tracef("%s: a later instance runs under this name", nameOf(i.index))
 }
 
 // check verifies the guarantees after each step: no age is less than the time since the member last sent something, and no more
@@ -236,8 +238,8 @@
 	for _, info := range i.member.Members(now) {
 		other := i.byAddress[info.Address]
 		if info.Age >= 0 && info.Age < i.now-other.lastSent {
-			i.t.Fatalf("%v: %s takes the last sign of life of %s for %v old, but it has sent nothing for %v", i.now, nameOf(i.index), info.Name, info.Age,
-				i.now-other.lastSent)
+			i.t.Fatalf("%v: %s takes the last sign of life of %s for %v old, but it has sent nothing for %v",
+				i.now, nameOf(i.index), info.Name, info.Age, i.now-other.lastSent)
 		}
 	}
 	if len(i.member.peers) > i.member.settings.MaxMembers {
@@ -261,9 +263,9 @@
 	return count
 }
 
-// allKnow returns an error unless all running instances have all running instances as Alive, and the others as Gone, Left or
+// checkConverged returns an error unless all running instances have all running instances as Alive, and the others as Gone, Left or
 // unknown.
-func (w *world) allKnow() error {
+func (w *world) checkConverged() error {
 	for _, j := range w.instances {
 		want := Alive
 		if !j.running {
@@ -278,8 +280,8 @@
 	return nil
 }
 
-// until runs until a condition holds and returns how long that took. It fails the test after the given time.
-func (w *world) until(timeout time.Duration, condition func() bool) time.Duration {
+// runUntil runs until a condition holds and returns how long that took. It fails the test after the given time.
+func (w *world) runUntil(timeout time.Duration, condition func() bool) time.Duration {
 	from := w.now
 	for w.now < from+timeout {
 		if condition() {
@@ -287,7 +289,7 @@
 		}
 		w.run(w.now + 50*time.Millisecond)
 	}
-	w.t.Fatalf("condition did not hold within %v from %v on: %v", timeout, from, w.allKnow())
+	w.t.Fatalf("condition did not hold within %v from %v on: %v", timeout, from, w.checkConverged())
 	return 0
 }
 
@@ -303,7 +305,7 @@
 	return count
 }
 
-// indexRange returns the numbers from the first up to, but without, the last.
+// indexRange returns the numbers from from to to-1.
 func indexRange(from, to int) (all []int) {
 	for n := from; n < to; n++ {
 		all = append(all, n)
--- a/member/gossip/codec.go
+++ b/member/gossip/codec.go
@@ -210,7 +210,7 @@
 // seal fills in the header of a message whose first headerBytes bytes are reserved for it, and returns the message.
 func (k keys) seal(message []byte) []byte {
 	message[0], message[1], message[2] = 'y', 'b', version
-	copy(message[3:], code(k[0], message[headerBytes:]))
+	copy(message[3:], authCode(k[0], message[headerBytes:]))
 	return message
 }
 
@@ -223,15 +223,15 @@
 		return nil, errVersion
 	}
 	for _, key := range k {
-		if hmac.Equal(code(key, message[headerBytes:]), message[3:headerBytes]) {
+		if hmac.Equal(authCode(key, message[headerBytes:]), message[3:headerBytes]) {
 			return message[headerBytes:], nil
 		}
 	}
 	return nil, errKey
 }
 
-// code returns the authentication code of data.
-func code(key, data []byte) []byte {
+// authCode returns the authentication code of data.
+func authCode(key, data []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(data)
 	return h.Sum(nil)[:codeBytes]
--- a/member/gossip/gossip.go
+++ b/member/gossip/gossip.go
@@ -29,14 +29,14 @@
 // Config configures an instance.
 type Config struct {
 	Name    string
-	Listen  string        // UDP and TCP address to listen on, such as 10.0.0.4:7946
-	Told    string        // advertised address, at which others reach this instance; empty if it is Listen
-	Seeds   []string      // addresses to join through
-	KeyFile string        // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
-	Period  time.Duration // protocol period, see member.Settings
-	Most    int           // members that are kept
-	BytesPS int           // bytes per second in datagrams, each for sending and receiving
-	Cargo   map[byte]member.Cargo
+	Listen  string                // UDP and TCP address to listen on, such as 10.0.0.4:7946
+	Told    string                // advertised address, at which others reach this instance; empty if it is Listen
+	Seeds   []string              // addresses to join through
+	KeyFile string                // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
+	Period  time.Duration         // protocol period, see member.Settings
+	Most    int                   // members that are kept
+	BytesPS int                   // bytes per second in datagrams, each for sending and receiving
+	Cargo   map[byte]member.Cargo // modules whose data is piggybacked, by payload type
 }
 
 // Counts are counters of an instance since its start.
@@ -50,8 +50,8 @@
 	Exchanges     int64 `json:"Streams"` // full states received
 }
 
-// Gossip is a running instance. The methods Send, ExchangeState, WakeAt, StatusChanged, ContactChanged and Displaced are called by
-// its member, with the lock held. The other methods may be called from any goroutine.
+// Gossip is a running instance. Its member calls the methods Send, ExchangeState, WakeAt, StatusChanged, ContactChanged and
+// Displaced, with the lock held. The other methods may be called from any goroutine.
 type Gossip struct {
 	cfg       Config
 	log       *slog.Logger
@@ -62,13 +62,13 @@
 	mu            sync.Mutex
 	member        *member.Member
 	keys          keys
-	sender        uint64
-	number        uint64
-	windows       map[uint64]*window
-	order         []uint64   // keys of windows, oldest first
-	outgoing      []datagram // datagrams to send once the lock is released
-	exchanges     []string   // addresses to exchange the full state with, once the lock is released
-	logCalls      []func()   // log calls to make once the lock is released
+	sender        uint64             // sender number of this instance
+	number        uint64             // of the last datagram sent
+	windows       map[uint64]*window // replay windows by sender number
+	order         []uint64           // sender numbers of windows, oldest first
+	outgoing      []datagram         // datagrams to send once the lock is released
+	exchanges     []string           // addresses to exchange the full state with, once the lock is released
+	logCalls      []func()           // log calls to make once the lock is released
 	timer         *time.Timer
 	counts        Counts
 	buckets       [2]bucket // token buckets for sending and receiving
@@ -149,7 +149,7 @@
 	if err != nil {
 		return fmt.Errorf("key file: %w", err)
 	}
-	var read keys
+	var loaded keys
 	for i, line := range strings.Split(string(raw), "\n") {
 		if line = strings.TrimSpace(line); line == "" || strings.HasPrefix(line, "#") {
 			continue
@@ -157,14 +157,14 @@
 		if len(line) < minKeyBytes {
 			return fmt.Errorf("key file %s: the key in line %d has %d bytes, wanted: %d or more", g.cfg.KeyFile, i+1, len(line), minKeyBytes)
 		}
-		read = append(read, []byte(line))
+		loaded = append(loaded, []byte(line))
 	}
-	if len(read) == 0 || len(read) > 2 {
-		return fmt.Errorf("key file %s: %d keys, wanted: one, or two during a key rotation", g.cfg.KeyFile, len(read))
+	if len(loaded) == 0 || len(loaded) > 2 {
+		return fmt.Errorf("key file %s: %d keys, wanted: one, or two during a key rotation", g.cfg.KeyFile, len(loaded))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.keys = read
+	g.keys = loaded
 	return nil
 }
 
@@ -183,7 +183,8 @@
 	g.outgoing, g.exchanges, g.logCalls = nil, nil, nil
 	g.mu.Unlock()
 	for _, datagram := range outgoing {
-		_, _ = g.udp.WriteToUDPAddrPort(datagram.data, datagram.to) // a failed send is treated like a datagram lost in the network
+		// A failed send is treated like a datagram lost in the network.
+		_, _ = g.udp.WriteToUDPAddrPort(datagram.data, datagram.to)
 	}
 	for _, to := range exchanges {
 		go g.exchange(to)
@@ -277,7 +278,7 @@
 				g.counts.RateLimited++
 				return
 			}
-			m, err := g.read(data)
+			m, err := g.decodeDatagram(data)
 			if err != nil {
 				g.counts.Rejected++
 				return
@@ -290,8 +291,8 @@
 // maxWindows limits the replay windows; it has room for several lives of each member of a fleet.
 const maxWindows = 4096
 
-// read authenticates and decodes a datagram, and rejects replays.
-func (g *Gossip) read(data []byte) (m member.Message, err error) {
+// decodeDatagram authenticates and decodes a datagram, and rejects replays.
+func (g *Gossip) decodeDatagram(data []byte) (m member.Message, err error) {
 	body, err := g.keys.open(data)
 	if err != nil {
 		return m, err
@@ -350,7 +351,8 @@
 	}
 }
 
-// handleState passes a received state to the member. requestedAt is when it was requested; it is negative for the state in a request.
+// handleState passes a received state to the member. requestedAt is when it was requested, or negative for the state that comes
+// with a request.
 func (g *Gossip) handleState(s state, requestedAt time.Duration) {
 	g.do(func(now time.Duration) {
 		g.counts.Exchanges++
@@ -428,7 +430,8 @@
 	if size > headerBytes+maxStateBytes {
 		return s, errLength
 	}
-	data, err := io.ReadAll(io.LimitReader(conn, int64(size))) // the buffer grows with the bytes received, not with the length announced
+	// The buffer grows with the bytes received, not with the length announced.
+	data, err := io.ReadAll(io.LimitReader(conn, int64(size)))
 	if err != nil || len(data) < int(size) {
 		return s, errors.Join(err, errLength)
 	}
--- a/member/gossip/gossip_test.go
+++ b/member/gossip/gossip_test.go
@@ -26,17 +26,17 @@
 // TestMessage checks that decoding returns what was encoded, and that ages are rounded up: rounded down, an age would claim that
 // a member is fresher than it is.
 func TestMessage(t *testing.T) {
-	text, err := encode(fullMessage)
+	encoded, err := encode(fullMessage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := decode(text)
-	if d := cmp.Diff(fullMessage, back); d != "" || err != nil {
-		t.Error(d, err)
+	decoded, err := decode(encoded)
+	if diff := cmp.Diff(fullMessage, decoded); diff != "" || err != nil {
+		t.Error(diff, err)
 	}
-	text, _ = encode(member.Message{From: fullMessage.From, Ages: []member.Age{{Hash: 1, Age: ms + 1}}})
-	if back, _ := decode(text); back.Ages[0].Age != 2*ms {
-		t.Error(back.Ages)
+	encoded, _ = encode(member.Message{From: fullMessage.From, Ages: []member.Age{{Hash: 1, Age: ms + 1}}})
+	if decoded, _ := decode(encoded); decoded.Ages[0].Age != 2*ms {
+		t.Error(decoded.Ages)
 	}
 }
 
@@ -62,22 +62,22 @@
 	} {
 		m := message{Kind: 1, From: record{Name: "a"}}
 		corrupt(&m)
-		text, _ := cbor.Marshal(m)
-		if _, err := decode(text); err == nil {
+		encoded, _ := cbor.Marshal(m)
+		if _, err := decode(encoded); err == nil {
 			t.Error(name)
 		}
 	}
-	whole, _ := encode(fullMessage)
-	for n := range whole { // truncated at each length
-		if _, err := decode(whole[:n]); err == nil {
+	encodedFull, _ := encode(fullMessage)
+	for n := range encodedFull { // truncated at each length
+		if _, err := decode(encodedFull[:n]); err == nil {
 			t.Error("accepted a message truncated to this many bytes: ", n)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	text, _ := encode(fullMessage)
-	f.Add(text)
+	encoded, _ := encode(fullMessage)
+	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, err := decode(data); err == nil {
 			if _, err := encode(m); err != nil {
@@ -151,9 +151,9 @@
 	a := startInstance(t, "a", oldKey)
 	b := startInstance(t, "b", oldKey, a.cfg.Listen)
 	waitUntil(t, "a and b do not see each other as alive", func() bool { return alive(a, "b") && alive(b, "a") })
-	for _, step := range []string{oldKey + "\n" + newKey, newKey + "\n" + oldKey, newKey} {
+	for _, keyFile := range []string{oldKey + "\n" + newKey, newKey + "\n" + oldKey, newKey} {
 		for _, g := range []*Gossip{a, b} {
-			if err := os.WriteFile(g.cfg.KeyFile, []byte(step), 0o600); err != nil {
+			if err := os.WriteFile(g.cfg.KeyFile, []byte(keyFile), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if err := g.ReadKeys(); err != nil {
@@ -181,24 +181,24 @@
 // TestReplay checks that a datagram is rejected when it arrives a second time, and when any of its bytes was changed.
 func TestReplay(t *testing.T) {
 	g := startInstance(t, "g", oldKey)
-	text, _ := encode(member.Message{Kind: member.Ping, Seq: 1, From: member.Record{Name: "x", Address: "127.0.0.1:1", Life: 5}})
-	whole := make([]byte, datagramHeaderBytes, 200)
+	encoded, _ := encode(member.Message{Kind: member.Ping, Seq: 1, From: member.Record{Name: "x", Address: "127.0.0.1:1", Life: 5}})
+	sealed := make([]byte, datagramHeaderBytes, 200)
 	sender := senderNumber("x", 5)
 	for n := range 8 {
-		whole[headerBytes+n] = byte(sender >> (56 - 8*n))
+		sealed[headerBytes+n] = byte(sender >> (56 - 8*n))
 	}
-	whole[headerBytes+15] = 1
-	whole = keys{[]byte(oldKey)}.seal(append(whole, text...))
-	if _, err := g.read(whole); err != nil {
+	sealed[headerBytes+15] = 1
+	sealed = keys{[]byte(oldKey)}.seal(append(sealed, encoded...))
+	if _, err := g.decodeDatagram(sealed); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.read(whole); err != errReplay {
+	if _, err := g.decodeDatagram(sealed); err != errReplay {
 		t.Error(err)
 	}
-	for n := range whole {
-		changed := bytes.Clone(whole)
+	for n := range sealed {
+		changed := bytes.Clone(sealed)
 		changed[n] ^= 1
-		if _, err := g.read(changed); err == nil {
+		if _, err := g.decodeDatagram(changed); err == nil {
 			t.Error("accepted a datagram changed at byte ", n)
 		}
 	}
@@ -218,11 +218,11 @@
 	for time.Since(from) < 500*ms {
 		_, _ = conn.Write(make([]byte, 1000))
 	}
-	now, length := g.View().Counts, time.Since(from).Seconds()
+	now, seconds := g.View().Counts, time.Since(from).Seconds()
 	if now.RateLimited == before.RateLimited {
 		t.Skip("this machine sends too slowly to exceed the limit")
 	}
-	if processed := now.Rejected - before.Rejected; float64(processed)*1000 > (length+2.5)*100_000 {
-		t.Errorf("read %d datagrams of 1,000 bytes in %.1f s, over the limit", processed, length)
+	if processed := now.Rejected - before.Rejected; float64(processed)*1000 > (seconds+2.5)*100_000 {
+		t.Errorf("read %d datagrams of 1,000 bytes in %.1f s, over the limit", processed, seconds)
 	}
 }
