--- a/controller/answers.go
+++ b/controller/answers.go
@@ -13,220 +13,222 @@
 	"yarrowbarrow/logic"
 )
 
-// onData reads answers of an engine in place.
+// onData parses an engine's answers in place.
 func (l *engineLink) onData() {
 	c := l.c
 	var words [][]byte
-	err := l.read(func(data []byte) (call func(), size int, err error) {
+	err := l.readMessages(func(data []byte) (call func(), size int, err error) {
 		words, size, err = resp.Next(data, words[:0])
 		if err != nil || size == 0 {
 			return nil, 0, err
 		}
 		if len(words) != 4 {
-			return nil, 0, errors.New("four words are wanted")
+			return nil, 0, errors.New("answer does not have 4 words")
 		}
-		return c.engineSays(l, logic.JobID(words[0]), string(words[1]), words[2], words[3]), size, nil
+		return c.parseAnswer(l, logic.JobID(words[0]), string(words[1]), words[2], words[3]), size, nil
 	})
 	if err != nil {
-		c.do(func() { c.spoilt(l, err) })
+		c.withLock(func() { c.closeMalformedLink(l, err) })
 	}
 }
 
 var (
-	errAnswer  = errors.New("no answer of the protocol")
-	errFigure  = errors.New("a figure can't be read")
-	errPage    = errors.New("no page of a result")
-	errSecond  = errors.New("two answers differ")
-	errStopped = errors.New("an answer does not go on")
+	errUnknownAnswer    = errors.New("unknown answer")
+	errInvalidNumber    = errors.New("invalid number")
+	errInvalidPage      = errors.New("invalid result page")
+	errContradiction    = errors.New("answers contradict each other")
+	errIncompleteAnswer = errors.New("answer is incomplete")
 )
 
-// engineSays reads one answer in place and gives the call that it leads to.
-func (c *Controller) engineSays(l *engineLink, id logic.JobID, word string, fields, body []byte) func() {
-	load, work, memory, pages, page, err := noLoad, 0.0, 0.0, 0, -1, error(nil)
+// parseAnswer parses one answer in place and returns the call to make for it.
+func (c *Controller) parseAnswer(l *engineLink, id logic.JobID, verb string, fields, body []byte) func() {
+	load, work, memory, pageCount, page, err := noLoad, 0.0, 0.0, 0, -1, error(nil)
 	resp.Fields(fields, func(name, value []byte) {
-		var wrong error
+		var parseErr error
 		switch string(name) {
 		case "ticks":
-			work, wrong = figure(value)
+			work, parseErr = reportedNumber(value)
 		case "footprint":
-			memory, wrong = figure(value)
+			memory, parseErr = reportedNumber(value)
 		case "count":
-			pages, wrong = strconv.Atoi(string(value))
+			pageCount, parseErr = strconv.Atoi(string(value))
 		case "pos":
-			page, wrong = strconv.Atoi(string(value))
+			page, parseErr = strconv.Atoi(string(value))
 		case "stats":
-			load, wrong = readLoad(value)
+			load, parseErr = parseLoad(value)
 		}
-		err = cmp.Or(err, wrong)
+		err = cmp.Or(err, parseErr)
 	})
-	if word == "PONG" || word == "SICK" {
+	if verb == "PONG" || verb == "SICK" {
 		return func() {
-			l.hears()
-			c.probed(string(id), word == "PONG", load)
+			l.markHeard()
+			c.probeAnswered(string(id), verb == "PONG", load)
 		}
 	}
 	return func() {
-		if l.gone {
+		if l.failed {
 			return
 		}
-		l.hears()
-		d := l.open[id]
-		if d == nil {
+		l.markHeard()
+		a := l.attempts[id]
+		if a == nil {
 			c.counts[strayAnswers]++
 			return
 		}
 		if load != noLoad {
-			d.load = load
+			a.load = load
 		}
-		switch word {
+		switch verb {
 		case "HIT":
-			if err == nil && d.begun { // a second copy does no harm
+			if err == nil && a.resultBegun { // a duplicate does no harm
 				c.counts[strayAnswers]++
-				err = d.same(0, body)
+				err = a.samePage(0, body)
 				break
 			}
-			if pages < 1 || pages > mostPages {
-				err = cmp.Or(err, errPage)
+			if pageCount < 1 || pageCount > maxPages {
+				err = cmp.Or(err, errInvalidPage)
 			}
 			if err != nil {
 				break
 			}
-			d.work, d.memory = time.Duration(work*float64(time.Millisecond)), memory
-			d.begun, d.pages, d.missing, d.reads = true, make([][]byte, pages), pages, c.now
-			for n := 1; n < pages; n++ {
-				l.say("read", string(id), strconv.Itoa(n))
+			a.work, a.memory = time.Duration(work*float64(time.Millisecond)), memory
+			a.resultBegun, a.pages, a.missingPages, a.pagesRequestedAt = true, make([][]byte, pageCount), pageCount, c.now
+			for index := 1; index < pageCount; index++ {
+				l.sendCommand("read", string(id), strconv.Itoa(index))
 			}
-			err = c.page(d, 0, body)
+			err = c.addPage(a, 0, body)
 		case "PART":
 			if err != nil {
 				break
 			}
-			if d.begun && page == 1 {
-				d.engine.trip.add(c.now - d.reads)
+			if a.resultBegun && page == 1 {
+				a.engine.rtt.addSample(c.now - a.pagesRequestedAt)
 			}
-			err = c.page(d, page, body)
+			err = c.addPage(a, page, body)
 		case "SHED", "LATE":
-			if d.begun { // it ran, so this is no proof that it did not
-				err = errSecond
+			if a.resultBegun { // it ran, so this does not prove that it did not
+				err = errContradiction
 				break
 			}
-			c.unlist(d)
-			c.over(d, logic.TurnedAway)
+			c.removeFromLink(a)
+			c.finishAttempt(a, logic.TurnedAway)
 		case "FAULT":
-			c.unlist(d)
-			c.over(d, logic.Errored)
+			c.removeFromLink(a)
+			c.finishAttempt(a, logic.Errored)
 		default:
-			// Where engines tell how far a job is, a word that is no answer of the protocol is such a note, or a later
-			// kind of it: it ends nothing, and its engine is alive.
-			if c.counts[notesUnread]++; !c.cfg.Settings.Notes {
-				err = errAnswer
+			// Where engines report the progress of a job, an unknown answer word is such a report, or a later kind of
+			// one: it finishes nothing, and shows that its engine is alive.
+			if c.counts[unknownAnswers]++; !c.cfg.Settings.Notes {
+				err = errUnknownAnswer
 			}
 		}
 		if err != nil {
 			c.counts[faultyAnswers]++
-			c.spoilt(l, err)
+			c.closeMalformedLink(l, err)
 		}
 	}
 }
 
-// A result has 48,000 bytes at most and a page 6,000. Pages that are filled with rows as far as they go come to 17;
-// there is room for an engine that fills them badly.
-const mostResult, mostPage, mostPages = 48_000, 6_000, 64
+// A result has at most 48,000 bytes and a page at most 6,000. Pages that are filled with rows as far as possible come to
+// 17; the limit leaves room for an engine that fills them badly.
+const maxResultBytes, maxPageBytes, maxPages = 48_000, 6_000, 64
 
-// page keeps a page at its place; with the last one the job is done.
-func (c *Controller) page(d *attempt, n int, body []byte) error {
-	if !d.begun || n < 0 || n >= len(d.pages) || !isPage(body) || len(body) == 0 && len(d.pages) > 1 {
-		return errPage
+// addPage stores a page at its position. The last missing page completes the job.
+func (c *Controller) addPage(a *attempt, index int, body []byte) error {
+	if !a.resultBegun || index < 0 || index >= len(a.pages) || !isValidPage(body) || len(body) == 0 && len(a.pages) > 1 {
+		return errInvalidPage
 	}
-	if d.pages[n] != nil {
+	if a.pages[index] != nil {
 		c.counts[strayAnswers]++
-		return d.same(n, body)
+		return a.samePage(index, body)
 	}
-	// Guards the machine: results of requests that were let in while there was room, and answers that nobody reads yet.
-	if c.bytes+c.held.Load()+int64(len(body)) > c.cfg.MemoryMB<<20/2 {
+	// Memory protection: results of jobs that were accepted while there was room, and answers that clients have not read
+	// yet, may add up to more.
+	if c.jobBytes+c.connBytes.Load()+int64(len(body)) > c.cfg.MemoryMB<<20/2 {
 		return errMemory
 	}
-	d.pages[n] = append(make([]byte, 0, len(body)), body...)
-	d.size += len(body)
-	c.bytes += int64(len(body))
+	a.pages[index] = append(make([]byte, 0, len(body)), body...)
+	a.resultBytes += len(body)
+	c.jobBytes += int64(len(body))
 	c.counts[pagesRead]++
-	d.paged = c.now
-	if d.size > mostResult {
-		return errPage
+	a.lastPageAt = c.now
+	if a.resultBytes > maxResultBytes {
+		return errInvalidPage
 	}
-	if d.missing--; d.missing > 0 {
+	if a.missingPages--; a.missingPages > 0 {
 		return nil
 	}
-	if len(d.pages) > 1 {
-		d.link.say("release", string(d.job.id))
+	if len(a.pages) > 1 {
+		a.link.sendCommand("release", string(a.job.id))
 	}
-	c.unlist(d)
-	if d.job.client != nil {
-		c.counts[done]++
+	c.removeFromLink(a)
+	if a.job.client != nil {
+		c.counts[jobsDone]++
 	}
-	c.answer(d.job, frame.Done, "", "", d.pages...)
-	d.pages = nil // alarms may hold on to the attempt for seconds
-	c.over(d, logic.Done)
+	c.answerJob(a.job, frame.Done, "", "", a.pages...)
+	a.pages = nil // timers may keep the attempt alive for seconds
+	c.finishAttempt(a, logic.Done)
 	return nil
 }
 
-// same tells whether a page came twice the same. Which of two is right can't be told.
-func (d *attempt) same(n int, body []byte) error {
-	if !bytes.Equal(d.pages[n], body) {
-		return errSecond
+// samePage returns an error if a second copy of a page differs from the first. Which of the two is right is unknown.
+func (a *attempt) samePage(index int, body []byte) error {
+	if !bytes.Equal(a.pages[index], body) {
+		return errContradiction
 	}
 	return nil
 }
 
-// isPage tells whether a text is whole rows of three columns, as far as that shows.
-func isPage(body []byte) bool {
-	if len(body) > mostPage || !utf8.Valid(body) || len(body) > 0 && body[len(body)-1] != '\n' {
+// isValidPage reports whether a text is whole rows of three columns, as far as that can be checked.
+func isValidPage(body []byte) bool {
+	if len(body) > maxPageBytes || !utf8.Valid(body) || len(body) > 0 && body[len(body)-1] != '\n' {
 		return false
 	}
 	tabs := 0
-	for _, ch := range body {
+	for _, char := range body {
 		switch {
-		case ch == '\t':
+		case char == '\t':
 			tabs++
-		case ch == '\n':
+		case char == '\n':
 			if tabs != 2 {
 				return false
 			}
 			tabs = 0
-		case ch < ' ' || ch == 0x7f:
+		case char < ' ' || char == 0x7f:
 			return false
 		}
 	}
 	return true
 }
 
-// figure reads a number that an engine reports.
-func figure(text []byte) (float64, error) {
-	n, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || !(n >= 0 && n <= mostFigure) {
-		return 0, errFigure
+// reportedNumber parses a number that an engine reports.
+func reportedNumber(text []byte) (float64, error) {
+	value, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || !(value >= 0 && value <= maxNumber) {
+		return 0, errInvalidNumber
 	}
-	return n, nil
+	return value, nil
 }
 
-// readLoad reads an engine's report of itself, as in util:0.61;queue:3. A figure that can't be is none.
-func readLoad(stats []byte) (load logic.Load, err error) {
+// parseLoad parses an engine's load report, such as util:0.61;queue:3. An invalid number is an error and makes the whole
+// report noLoad.
+func parseLoad(stats []byte) (load logic.Load, err error) {
 	load = noLoad
 	resp.Pairs(stats, ';', ':', func(name, value []byte) {
-		var at *float64
+		var target *float64
 		switch string(name) {
 		case "util":
-			at = &load.Util
+			target = &load.Util
 		case "queue":
-			at = &load.Waiting
+			target = &load.Waiting
 		case "x0":
-			at = &load.MemoryGranted
+			target = &load.MemoryGranted
 		default:
 			return
 		}
-		n, wrong := figure(value)
-		if *at = n; wrong != nil {
-			err = wrong
+		number, parseErr := reportedNumber(value)
+		if *target = number; parseErr != nil {
+			err = parseErr
 		}
 	})
 	if err != nil {
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -12,7 +12,7 @@
 	"yarrowbarrow/logic"
 )
 
-// BenchmarkJobTaken: what a job costs from admission to its attempt and its end, without sockets: with no operators'
+// BenchmarkJobTaken measures a job from admission through its attempt to its end, without sockets: without an operators'
 // file, with 10 and with 1,000 routes. Compare runs with benchstat -col /routes.
 func BenchmarkJobTaken(b *testing.B) {
 	for _, routes := range []int{0, 10, 1000} {
@@ -31,13 +31,13 @@
 						Policy: route.NewPolicy("p"), Match: &route.Match{Op: route.In, Field: route.Customer,
 							Texts: []route.Pattern{route.Pattern(fmt.Sprint("org-", n))}}})
 				}
-				c.adopt(plan, route.NewTable(plan, nil))
+				c.adoptRoutes(plan, route.NewTable(plan, nil))
 			}
 			c.logic.ListBegins(c.now, logic.ListWhole)
 			for n := range 8 {
 				e := &engine{id: logic.EngineID(fmt.Sprint("e", n)), location: "east", kind: "std"}
 				c.engines[e.id] = e
-				c.routesSee(e)
+				c.notifyRouter(e)
 				c.logic.EngineListed(c.now, e.id, "east", "std", 0, logic.Up, 1, 0)
 			}
 			if c.router != nil {
@@ -49,13 +49,13 @@
 			for b.Loop() {
 				n++
 				c.now += 100 * time.Microsecond
-				j := &job{id: "j", name: "quick", expires: c.now + 2*time.Second, client: &client{}}
+				j := &job{id: "j", class: "quick", deadline: c.now + 2*time.Second, client: &client{}}
 				c.jobs[j.id] = j
-				if !c.admitted(j, fmt.Sprint("org-", n%max(routes, 1)), 20, 0, 1) {
+				if !c.admitToRoute(j, fmt.Sprint("org-", n%max(routes, 1)), 20, 0, 1) {
 					b.Fatal("refused")
 				}
-				c.logic.JobTaken(c.now, j.id, j.name, "", "", j.expires, 20*time.Millisecond, 0, 1, false, j.place)
-				if j.sent != 1 {
+				c.logic.JobTaken(c.now, j.id, j.class, "", "", j.deadline, 20*time.Millisecond, 0, 1, false, j.placement)
+				if j.attempts != 1 {
 					b.Fatal("not attempted")
 				}
 				if c.router != nil {
@@ -63,18 +63,18 @@
 				}
 				c.logic.AttemptOver(c.now, j.id, 0, "", logic.Done, 20*time.Millisecond, true, 20*time.Millisecond, 0, noLoad)
 				j.client = nil
-				c.forget(j)
-				c.queue = nil
+				c.forgetJob(j)
+				c.pendingCalls = nil
 			}
 		})
 	}
 }
 
-// benchHost carries nothing out but the count of an attempt.
+// benchHost carries out nothing; it only counts attempts.
 type benchHost struct{ c *Controller }
 
 func (h benchHost) Attempt(id logic.JobID, _ logic.EngineID, _, _ time.Duration) {
-	h.c.jobs[id].sent++
+	h.c.jobs[id].attempts++
 	if h.c.router != nil {
 		h.c.router.Attempted(h.c.now, route.JobID(id))
 	}
--- a/controller/clients.go
+++ b/controller/clients.go
@@ -23,274 +23,282 @@
 // client is a connection from a client.
 type client struct {
 	*link
-	id     admission.ConnID
-	jobs   map[uint32]*job // open, by stream
-	last   uint32          // highest stream so far
-	gone   bool
-	turned bool        // away: it has no place, and is told so
-	parts  bool        // its connection ends: a job that crosses that is refused
-	faulty atomic.Bool // what comes is passed over
-}
-
-// mostClients is half the descriptors: clients keep to a third by themselves, and past half ours would be short.
-func mostClients(cfg config.Config) int { return cfg.Sockets / 2 }
-
-// mostLingering connections that are shut and not closed are read on at once, and as many that are turned away are told so;
-// those beyond are closed outright. Their descriptors are of those that mostLinks keeps free.
-func mostLingering(cfg config.Config) int { return max(cfg.Sockets/64, 4) }
-
-// accept makes the object of a new connection; nil for one that has no place.
-func (c *Controller) accept(conn netpoll.Connection) *client {
-	k := &client{jobs: map[uint32]*job{}}
-	c.connected++
-	if k.id = c.connected; c.phase == Stopped || !c.admission.Came(c.now, k.id) {
+	id           admission.ConnID
+	jobs         map[uint32]*job // unanswered jobs, by stream
+	lastStream   uint32          // highest stream number so far
+	disconnected bool            // closed, or about to be closed at once
+	turnedAway   bool            // refused for lack of room, and told so
+	refusesJobs  bool            // the connection is closing: a job that arrives meanwhile is refused
+	malformed    atomic.Bool     // its input was malformed: whatever else arrives is discarded
+}
+
+// maxClients is half of the descriptors. Well-behaved clients stay within a third, and with more than half the
+// controller's own connections would run short.
+func maxClients(cfg config.Config) int { return cfg.Sockets / 2 }
+
+// maxLingering bounds the connections that are shut down and still read until the peer closes, and equally the refused
+// connections that are told so; further ones are closed at once. Their descriptors come out of those that maxLinks
+// reserves.
+func maxLingering(cfg config.Config) int { return max(cfg.Sockets/64, 4) }
+
+// addClient registers a new connection. It returns nil if there is no room for it.
+func (c *Controller) addClient(conn netpoll.Connection) *client {
+	cl := &client{jobs: map[uint32]*job{}}
+	c.lastConnID++
+	if cl.id = c.lastConnID; c.phase == Stopped || !c.admission.Came(c.now, cl.id) {
 		c.counts[clientsRefused]++
-		if c.refusing >= mostLingering(c.cfg) {
+		if c.turnedAwayConns >= maxLingering(c.cfg) {
 			return nil
 		}
-		c.turnAway(k, conn)
+		c.turnAway(cl, conn)
 	} else {
 		c.counts[clientsAccepted]++
-		k.link = newLink(c, conn)
-		c.clients[k.id] = k
+		cl.link = newLink(c, conn)
+		c.clients[cl.id] = cl
 	}
-	k.shut, k.down = true, func() { k.faulty.Store(true) }
+	cl.gracefulClose, cl.onShutdown = true, func() { cl.malformed.Store(true) }
 	_ = conn.AddCloseCallback(func(netpoll.Connection) error {
-		c.do(func() { c.clientClosed(k) })
-		reading.closes(k.link)
+		c.withLock(func() { c.clientClosed(cl) })
+		runner.linkClosing(cl.link)
 		return nil
 	})
-	if k.turned || c.phase >= Draining {
-		k.sendEmpty(frame.NoMore, 0)
+	if cl.turnedAway || c.phase >= Draining {
+		cl.sendEmptyFrame(frame.NoMore, 0)
 	}
-	reading.begin(k.link, k.onData)
-	return k
+	runner.register(cl.link, cl.onData)
+	return cl
 }
 
-// turnAway guards a client that found no place against a connection that is reset under its job: it is told that none is
-// wanted, and one that it has sent is refused. Only a few are told so at once; the others are closed.
-func (c *Controller) turnAway(k *client, conn netpoll.Connection) {
-	c.refusing++
-	k.turned, k.link = true, newLink(c, conn)
-	c.at(c.now+lingers, k.end)
+// turnAway refuses a client for lack of room without resetting its connection under a job that it has already sent: the
+// client is told to send no more, and a job that has arrived is rejected. Only a few connections are told so at once; the
+// others are closed.
+func (c *Controller) turnAway(cl *client, conn netpoll.Connection) {
+	c.turnedAwayConns++
+	cl.turnedAway, cl.link = true, newLink(c, conn)
+	c.schedule(c.now+lingerTimeout, cl.closeWhenFlushed)
 }
 
 func newAdmission(c *Controller) *admission.Control {
-	return admission.New(admissionHost{c}, mostClients(c.cfg))
+	return admission.New(admissionHost{c}, maxClients(c.cfg))
 }
 
-// admissionHost carries out what admission decides about clients' connections.
+// admissionHost carries out admission's decisions about client connections.
 type admissionHost struct{ c *Controller }
 
 func (h admissionHost) State(id admission.ConnID) admission.State {
-	k := h.c.clients[id]
-	return admission.State{Jobs: len(k.jobs), Unsent: k.backlog() > 0, Half: k.halfSince(h.c.now)}
+	cl := h.c.clients[id]
+	return admission.State{Jobs: len(cl.jobs), Unsent: cl.backlog() > 0, Half: cl.partialAge(h.c.now)}
 }
 
-func (h admissionHost) Unread(id admission.ConnID) bool { return h.c.clients[id].unread() }
+func (h admissionHost) Unread(id admission.ConnID) bool { return h.c.clients[id].hasUnread() }
 
 func (h admissionHost) AskToLeave(id admission.ConnID) {
-	c, k := h.c, h.c.clients[id]
-	c.counts[clientsAsked]++
-	k.sendEmpty(frame.NoMore, 0)
-	k.then(func() { c.admission.Told(c.now, id) })
+	c, cl := h.c, h.c.clients[id]
+	c.counts[clientsAskedToLeave]++
+	cl.sendEmptyFrame(frame.NoMore, 0)
+	cl.afterFlush(func() { c.admission.Told(c.now, id) })
 }
 
 func (h admissionHost) End(id admission.ConnID, why admission.Why) {
 	if why == admission.ForNewcomer {
 		h.c.counts[clientsEvicted]++
-		h.c.part(h.c.clients[id], "room for a newcomer")
+		h.c.closeClient(h.c.clients[id], "room for a new client")
 	} else {
-		h.c.counts[clientsIdle]++
-		h.c.part(h.c.clients[id], "idle")
+		h.c.counts[clientsIdleClosed]++
+		h.c.closeClient(h.c.clients[id], "idle")
 	}
 }
 
-func (h admissionHost) Misread(id admission.ConnID) { h.c.misread(h.c.clients[id], errHalf) }
+func (h admissionHost) Misread(id admission.ConnID) {
+	h.c.failMalformed(h.c.clients[id], errIncompleteFrame)
+}
 
-// part ends a connection on which nothing is owed. A job that is read before its side is shut is refused; what is read later is
-// not taken: its client sends it again.
-func (c *Controller) part(k *client, why reason) {
-	c.trace("client closed", why, "client", k.id, "jobs", len(k.jobs))
-	c.violated(invariant.Close(len(k.jobs), false), "client", k.id, "why", string(why))
-	k.parts = true
-	c.forgetClient(k)
-	k.end()
+// closeClient closes a connection that has no unanswered job. A job that is read before the write side is shut down is
+// rejected; what is read later is not taken, and its client sends it again.
+func (c *Controller) closeClient(cl *client, why reason) {
+	c.trace("client closed", why, "client", cl.id, "jobs", len(cl.jobs))
+	c.reportViolation(invariant.Close(len(cl.jobs), false), "client", cl.id, "why", string(why))
+	cl.refusesJobs = true
+	c.forgetClient(cl)
+	cl.closeWhenFlushed()
 }
 
-// drop closes a connection at once, with all that is owed on it.
-func (c *Controller) drop(k *client) {
-	c.trace("client closed", "takes nothing in", "client", k.id, "jobs", len(k.jobs))
-	k.gone = true
-	c.forgetClient(k)
-	k.discard()
-	c.closeSoon(k.conn)
+// dropClient closes a connection at once, whatever is still unanswered on it.
+func (c *Controller) dropClient(cl *client) {
+	c.trace("client closed", "peer does not read", "client", cl.id, "jobs", len(cl.jobs))
+	cl.disconnected = true
+	c.forgetClient(cl)
+	cl.discardPending()
+	c.closeAsync(cl.conn)
 }
 
-func (c *Controller) forgetClient(k *client) {
-	delete(c.clients, k.id)
-	c.admission.Went(k.id)
+// forgetClient removes a connection from the table and from admission.
+func (c *Controller) forgetClient(cl *client) {
+	delete(c.clients, cl.id)
+	c.admission.Went(cl.id)
 }
 
-func (c *Controller) clientClosed(k *client) {
-	k.link.closed()
-	if k.gone = true; k.turned {
-		c.refusing--
+// clientClosed handles the end of a client connection.
+func (c *Controller) clientClosed(cl *client) {
+	cl.link.markClosed()
+	if cl.disconnected = true; cl.turnedAway {
+		c.turnedAwayConns--
 	}
-	c.forgetClient(k)
-	c.allGone(k)
+	c.forgetClient(cl)
+	c.cancelAllJobs(cl)
 }
 
-// allGone ends the jobs of a client that waits for none of them.
-func (c *Controller) allGone(k *client) {
-	for _, stream := range sorted(k.jobs) {
-		if j := k.jobs[stream]; j != nil {
-			c.clientGone(j)
+// cancelAllJobs cancels the jobs of a client that is gone.
+func (c *Controller) cancelAllJobs(cl *client) {
+	for _, stream := range sorted(cl.jobs) {
+		if j := cl.jobs[stream]; j != nil {
+			c.cancelJob(j)
 		}
 	}
 }
 
-// onData takes what a client has sent.
-func (k *client) onData() {
-	c := k.c
-	if k.faulty.Load() { // ends as soon as it has been told
-		k.deaf.Store(true)
+// onData handles what a client has sent.
+func (cl *client) onData() {
+	c := cl.c
+	if cl.malformed.Load() { // it closes once the client has been told
+		cl.discardInput.Store(true)
 	}
-	err := k.read(func(data []byte) (func(), int, error) {
+	err := cl.readMessages(func(data []byte) (func(), int, error) {
 		kind, stream, payload, size, err := frame.Next(data)
 		if err != nil || size == 0 {
 			return nil, 0, err
 		}
 		switch kind {
 		case frame.Job:
-			return c.jobComes(k, stream, payload), size, nil
+			return c.readJob(cl, stream, payload), size, nil
 		case frame.Gone:
-			return func() { c.goneComes(k, stream) }, size, nil
+			return func() { c.handleGone(cl, stream) }, size, nil
 		case frame.Ready:
-			return func() { c.readyComes(k, stream) }, size, nil
+			return func() { c.handleReady(cl, stream) }, size, nil
 		}
-		return nil, 0, errKind
+		return nil, 0, errFrameType
 	})
 	if err != nil {
-		c.do(func() { c.misread(k, err) })
+		c.withLock(func() { c.failMalformed(cl, err) })
 	}
 }
 
-// goneComes takes that a client waits for a job no more.
-func (c *Controller) goneComes(k *client, stream uint32) {
-	k.heard()
-	if j := k.jobs[stream]; j != nil {
-		c.clientGone(j)
+// handleGone handles a client's cancellation of a job.
+func (c *Controller) handleGone(cl *client, stream uint32) {
+	cl.touch()
+	if j := cl.jobs[stream]; j != nil {
+		c.cancelJob(j)
 	}
 }
 
-// readyComes answers whether jobs are taken.
-func (c *Controller) readyComes(k *client, stream uint32) {
-	c.admission.Front(c.now, k.id)
+// handleReady answers whether jobs are accepted.
+func (c *Controller) handleReady(cl *client, stream uint32) {
+	c.admission.Front(c.now, cl.id)
 	code := byte(1)
-	if c.phase != Ready || c.idles {
+	if c.phase != Ready || c.paused {
 		code = 2
 	}
-	k.send(frame.IsReady, stream, code, "", "")
+	cl.sendFrame(frame.IsReady, stream, code, "", "")
 }
 
 var (
-	errKind   = errors.New("unknown type of frame")
-	errStream = errors.New("stream in use")
-	errHalf   = errors.New("half a frame")
+	errFrameType       = errors.New("unknown type of frame")
+	errStreamInUse     = errors.New("stream in use")
+	errIncompleteFrame = errors.New("half a frame")
 )
 
-// misread tells a client that its bytes make no sense, and ends the connection, as what follows can't be read. What
-// was taken on it is answered first.
-func (c *Controller) misread(k *client, err error) {
-	if k.gone || k.faulty.Load() {
+// failMalformed tells a client that its input is malformed and closes the connection, because what follows can't be
+// parsed. Jobs accepted on it are answered first.
+func (c *Controller) failMalformed(cl *client, err error) {
+	if cl.disconnected || cl.malformed.Load() {
 		return
 	}
-	c.counts[clientsMisread]++
-	c.note(slog.LevelDebug, "client misread", "client", k.id, "why", err)
-	for _, stream := range sorted(k.jobs) {
-		if j := k.jobs[stream]; j != nil {
-			c.cut(j)
+	c.counts[clientsMalformed]++
+	c.logEvent(slog.LevelDebug, "client misread", "client", cl.id, "why", err)
+	for _, stream := range sorted(cl.jobs) {
+		if j := cl.jobs[stream]; j != nil {
+			c.abortJob(j)
 		}
 	}
-	k.faulty.Store(true)
-	k.send(frame.Answer, 0, frame.Failed, "error", err.Error())
-	k.end()
+	cl.malformed.Store(true)
+	cl.sendFrame(frame.Answer, 0, frame.Failed, "error", err.Error())
+	cl.closeWhenFlushed()
 }
 
-// cut fails a job whatever it is at.
-func (c *Controller) cut(j *job) {
+// abortJob fails a job whatever its state.
+func (c *Controller) abortJob(j *job) {
 	c.failJob(j)
-	c.unwanted(j)
+	c.abandonJob(j)
 }
 
-// heard keeps a connection from being idle.
-func (k *client) heard() { k.c.admission.Heard(k.c.now, k.id) }
+// touch keeps a connection from being considered idle.
+func (cl *client) touch() { cl.c.admission.Heard(cl.c.now, cl.id) }
 
-// fields of a job, as they came.
-type fields struct{ name, id, wait, once, cost, memory, customer, tenant, key, retry []byte }
+// jobFields holds the fields of a job as they arrived.
+type jobFields struct{ class, id, wait, idempotencyKey, cost, memory, customer, tenant, key, retry []byte }
 
-// read takes the fields that are known, each once; others are for later versions of the protocol.
-func (f *fields) read(payload []byte) (body []byte, err error) {
-	again := false
+// read parses the known fields, each of which may occur once; unknown ones belong to later versions of the protocol.
+func (f *jobFields) read(payload []byte) (body []byte, err error) {
+	duplicate := false
 	body, err = frame.Fields(payload, func(field, value []byte) {
-		var at *[]byte
+		var target *[]byte
 		switch string(field) {
 		case "class":
-			at = &f.name
+			target = &f.class
 		case "id":
-			at = &f.id
+			target = &f.id
 		case "wait":
-			at = &f.wait
+			target = &f.wait
 		case "once":
-			at = &f.once
+			target = &f.idempotencyKey
 		case "cost":
-			at = &f.cost
+			target = &f.cost
 		case "memory":
-			at = &f.memory
-		case "customer": // for routes alone, where there is no tenant
-			at = &f.customer
-		case "tenant": // of the settings, whose share the job counts to
-			at = &f.tenant
-		case "key": // jobs of one key go one at a time, in the order in which they came
-			at = &f.key
+			target = &f.memory
+		case "customer": // only for routes, and only without a tenant
+			target = &f.customer
+		case "tenant": // of the settings; the job counts against its share
+			target = &f.tenant
+		case "key": // jobs with the same key run one at a time, in order of arrival
+			target = &f.key
 		case "retry":
-			at = &f.retry
+			target = &f.retry
 		default:
 			return
 		}
-		again = again || *at != nil
-		*at = value
+		duplicate = duplicate || *target != nil
+		*target = value
 	})
-	if err == nil && again {
+	if err == nil && duplicate {
 		err = errors.New("a field is there twice")
 	}
 	return body, err
 }
 
-// Estimates and waits of more than a day are no figures of a job.
-const mostFigure = 86_400_000
+// maxNumber bounds estimates and waits, in milliseconds or MB: nothing above one day in milliseconds is plausible for a
+// job.
+const maxNumber = 86_400_000
 
-// check tells what is wrong with a job, if anything: an engine closes a connection, under all its jobs, on what it
-// can't read.
-func (f *fields) check(t *logic.Class, body []byte) error {
+// validate returns what is wrong with a job, if anything: an engine that can't parse a job closes the connection, with
+// all other jobs on it.
+func (f *jobFields) validate(class *logic.Class, body []byte) error {
 	wait, err := strconv.ParseUint(string(f.wait), 10, 32)
-	_, costOK := number(f.cost, mostFigure)
-	_, memoryOK := number(f.memory, mostFigure)
+	_, costOK := parseNumber(f.cost, maxNumber)
+	_, memoryOK := parseNumber(f.memory, maxNumber)
 	switch {
-	case t == nil:
+	case class == nil:
 		return errors.New("class: not known")
-	case !isID(f.id):
+	case !isJobID(f.id):
 		return errors.New("id: 16 hex digits are wanted")
-	case err != nil || wait == 0 || wait > mostFigure:
+	case err != nil || wait == 0 || wait > maxNumber:
 		return errors.New("wait: milliseconds are wanted")
-	case len(f.once) == 0 && t.Repeat == logic.Keyed:
+	case len(f.idempotencyKey) == 0 && class.Repeat == logic.Keyed:
 		return errors.New("once: a key is wanted")
-	case !isWord(f.once):
+	case !isFieldValue(f.idempotencyKey):
 		return errors.New("once: letters and digits are wanted")
-	case len(f.key) > mostName:
+	case len(f.key) > maxNameBytes:
 		return errors.New("key: too long")
-	case len(f.tenant) > mostName:
+	case len(f.tenant) > maxNameBytes:
 		return errors.New("tenant: too long")
 	case f.cost != nil && (!costOK || len(f.cost) == 0):
 		return errors.New("cost: a number is wanted")
@@ -302,150 +310,152 @@
 	return nil
 }
 
-// jobComes reads a job in place and gives the call that takes it.
-func (c *Controller) jobComes(k *client, stream uint32, payload []byte) func() {
-	var f fields
+// readJob parses a job in place and returns the call that accepts it.
+func (c *Controller) readJob(cl *client, stream uint32, payload []byte) func() {
+	var f jobFields
 	body, err := f.read(payload)
 	if err == nil {
-		err = f.check(c.classOf(f.name), body)
+		err = f.validate(c.classNamed(f.class), body)
 	}
 	if err != nil {
 		return func() {
-			k.heard()
-			c.counts[jobsMisread]++
-			if !k.opens(stream) {
-				c.misread(k, errStream)
+			cl.touch()
+			c.counts[jobsMalformed]++
+			if !cl.openStream(stream) {
+				c.failMalformed(cl, errStreamInUse)
 				return
 			}
-			k.send(frame.Answer, stream, frame.Failed, "error", err.Error())
+			cl.sendFrame(frame.Answer, stream, frame.Failed, "error", err.Error())
 		}
 	}
 	waitMS, _ := strconv.ParseUint(string(f.wait), 10, 32)
-	costMS, _ := number(f.cost, mostFigure)
-	needMB, _ := number(f.memory, mostFigure)
-	j := &job{id: logic.JobID(f.id), client: k, stream: stream, name: logic.ClassName(f.name), once: string(f.once),
+	costMS, _ := parseNumber(f.cost, maxNumber)
+	needMB, _ := parseNumber(f.memory, maxNumber)
+	j := &job{id: logic.JobID(f.id), client: cl, stream: stream, class: logic.ClassName(f.class), idempotencyKey: string(f.idempotencyKey),
 		statement: append([]byte(nil), body...), priority: 1}
 	tables, customer := statement.Group(string(j.statement)), cmp.Or(string(f.tenant), string(f.customer))
-	tenant, key, again := logic.CustomerID(f.tenant), logic.Key(f.key), len(f.retry) > 0 && string(f.retry) != "0"
+	tenant, key, isRetry := logic.CustomerID(f.tenant), logic.Key(f.key), len(f.retry) > 0 && string(f.retry) != "0"
 	return func() {
-		k.heard()
+		cl.touch()
 		switch {
-		case k.gone || k.faulty.Load():
+		case cl.disconnected || cl.malformed.Load():
 			return
-		case !k.opens(stream):
-			c.misread(k, errStream)
+		case !cl.openStream(stream):
+			c.failMalformed(cl, errStreamInUse)
 			return
 		case c.jobs[j.id] != nil:
-			c.counts[jobsMisread]++
-			k.send(frame.Answer, stream, frame.Failed, "error", "id: in use")
+			c.counts[jobsMalformed]++
+			cl.sendFrame(frame.Answer, stream, frame.Failed, "error", "id: in use")
 			return
 		}
-		c.counts[jobsTaken]++
-		c.trace("job", "read", "job", j.id, "class", j.name, "wait_ms", waitMS, "client", k.id)
-		if k.turned || k.parts {
+		c.counts[jobsReceived]++
+		c.trace("job", "read", "job", j.id, "class", j.class, "wait_ms", waitMS, "client", cl.id)
+		if cl.turnedAway || cl.refusesJobs {
 			c.counts[jobsOverLimit]++
-			k.jobs[stream] = j
-			c.reject(j, c.cfg.Settings.Logic.MaxComeBack)
-			k.end()
+			cl.jobs[stream] = j
+			c.rejectJob(j, c.cfg.Settings.Logic.MaxComeBack)
+			cl.closeWhenFlushed()
 			return
 		}
 		if c.exit != nil {
 			c.exit.JobCame(c.now)
 		}
-		k.jobs[stream] = j
-		// Guards the machine: it must not die of what it holds. The job never ran, so a retry does no harm.
-		if most := c.cfg.Settings.OpenCap; c.full(len(j.statement)) || most > 0 && len(c.jobs) >= most ||
-			len(k.jobs) > streamsPerClient || c.phase >= Leaving || c.idles {
+		cl.jobs[stream] = j
+		// Load shedding: the process must not run out of memory. The job never ran, so a retry does no harm.
+		if openCap := c.cfg.Settings.OpenCap; c.overMemory(len(j.statement)) || openCap > 0 && len(c.jobs) >= openCap ||
+			len(cl.jobs) > streamsPerClient || c.phase >= Leaving || c.paused {
 			c.counts[jobsOverLimit]++
-			c.reject(j, c.cfg.Settings.Logic.MaxComeBack)
+			c.rejectJob(j, c.cfg.Settings.Logic.MaxComeBack)
 			return
 		}
-		j.taken = c.now
-		j.expires = c.now + time.Duration(waitMS)*time.Millisecond - onTheWay - c.age()
+		j.acceptedAt = c.now
+		j.deadline = c.now + time.Duration(waitMS)*time.Millisecond - transitAllowance - c.maxInputAge()
 		if c.exit != nil {
-			j.expires = min(j.expires, c.exit.Last())
+			j.deadline = min(j.deadline, c.exit.Last())
 		}
 		c.jobs[j.id] = j
-		c.bytes += int64(len(j.statement))
-		if !c.admitted(j, customer, costMS, needMB, tables) {
+		c.jobBytes += int64(len(j.statement))
+		if !c.admitToRoute(j, customer, costMS, needMB, tables) {
 			return
 		}
-		c.logic.JobTaken(c.now, j.id, j.name, tenant, key, j.expires, time.Duration(costMS*float64(time.Millisecond)),
-			needMB, logic.Tables(max(tables, 0)), again, j.place)
+		c.logic.JobTaken(c.now, j.id, j.class, tenant, key, j.deadline, time.Duration(costMS*float64(time.Millisecond)),
+			needMB, logic.Tables(max(tables, 0)), isRetry, j.placement)
 	}
 }
 
-// onTheWay comes off a client's wait, which counts from when it sent the job and until it has the answer: time
-// for both ways and for a busy machine. Deadlines are hundreds of times as long.
-const onTheWay = 25 * time.Millisecond
+// transitAllowance is subtracted from a client's wait, which runs from sending the job to receiving the answer: it covers
+// the network both ways and scheduling delays on a busy machine. Deadlines are hundreds of times as long.
+const transitAllowance = 25 * time.Millisecond
 
-// streamsPerClient is the protocol's.
+// streamsPerClient is set by the protocol.
 const streamsPerClient = 32
 
-// full tells that a quarter of the memory is held by statements, pages and what connections keep; garbage and the
+// overMemory reports whether statements, pages and connection buffers hold a quarter of the memory; garbage and the
 // runtime need the rest.
-func (c *Controller) full(more int) bool {
-	return c.bytes+c.held.Load()+int64(more) > c.cfg.MemoryMB<<20/4
+func (c *Controller) overMemory(more int) bool {
+	return c.jobBytes+c.connBytes.Load()+int64(more) > c.cfg.MemoryMB<<20/4
 }
 
-// opens tells whether a stream is new on its connection: they count up.
-func (k *client) opens(stream uint32) bool {
-	if stream <= k.last {
+// openStream reports whether a stream is new on its connection, and records it: stream numbers increase.
+func (cl *client) openStream(stream uint32) bool {
+	if stream <= cl.lastStream {
 		return false
 	}
-	k.last = stream
+	cl.lastStream = stream
 	return true
 }
 
-// classOf is the class of a name, if the settings have it.
-func (c *Controller) classOf(name []byte) *logic.Class {
+// classNamed returns the class with that name, or nil if the settings have none.
+func (c *Controller) classNamed(name []byte) *logic.Class {
 	classes := c.cfg.Settings.Logic.Classes
-	for n := range classes {
-		if string(classes[n].Name) == string(name) {
-			return &classes[n]
+	for i := range classes {
+		if string(classes[i].Name) == string(name) {
+			return &classes[i]
 		}
 	}
 	return nil
 }
 
-// number reads a figure without a sign or an exponent, up to a most; none is 0.
-func number(text []byte, most float64) (float64, bool) {
+// parseNumber parses a number without sign or exponent, up to a maximum. An empty text is 0.
+func parseNumber(text []byte, maximum float64) (float64, bool) {
 	if len(text) == 0 {
 		return 0, true
 	}
-	for _, ch := range text {
-		if (ch < '0' || ch > '9') && ch != '.' {
+	for _, char := range text {
+		if (char < '0' || char > '9') && char != '.' {
 			return 0, false
 		}
 	}
-	n, err := strconv.ParseFloat(string(text), 64)
-	return n, err == nil && n <= most
+	value, err := strconv.ParseFloat(string(text), 64)
+	return value, err == nil && value <= maximum
 }
 
-func isID(id []byte) bool {
-	for _, ch := range id {
-		if !(ch >= '0' && ch <= '9' || ch >= 'a' && ch <= 'f' || ch >= 'A' && ch <= 'F') {
+// isJobID reports whether a text is 16 hexadecimal digits.
+func isJobID(id []byte) bool {
+	for _, char := range id {
+		if !(char >= '0' && char <= '9' || char >= 'a' && char <= 'f' || char >= 'A' && char <= 'F') {
 			return false
 		}
 	}
 	return len(id) == 16
 }
 
-// isWord guards the engines' lists of fields, in which an idempotency key goes on: it must not end one.
-func isWord(text []byte) bool {
-	for _, ch := range text {
-		if ch <= ' ' || ch == ',' || ch == '=' || ch == 0x7f {
+// isFieldValue reports whether a text may stand in the list of fields that is sent to engines. It protects that list from
+// an idempotency key that would end a field.
+func isFieldValue(text []byte) bool {
+	for _, char := range text {
+		if char <= ' ' || char == ',' || char == '=' || char == 0x7f {
 			return false
 		}
 	}
-	return len(text) <= mostName
+	return len(text) <= maxNameBytes
 }
 
-// mostName is the longest name or key in bytes: several times those that operators give, as it is kept with its job.
-const mostName = 256
+// maxNameBytes is the longest name or key: several times what operators use, as it is kept in memory with its job.
+const maxNameBytes = 256
 
-// send queues a frame with a code, at most one field and a body in parts.
-func (k *client) send(kind byte, stream uint32, code byte, field, value string, body ...[]byte) {
+// sendFrame queues a frame with a code, at most one field and a body in parts.
+func (cl *client) sendFrame(kind byte, stream uint32, code byte, field, value string, body ...[]byte) {
 	size := 2
 	if field != "" {
 		size += 3 + len(field) + len(value)
@@ -459,113 +469,118 @@
 		head[len(head)-1] = 1
 		head = frame.AppendField(head, field, value)
 	}
-	k.out(head, body...)
+	cl.queueOutput(head, body...)
 }
 
-func (k *client) sendEmpty(kind byte, stream uint32) { k.out(frame.AppendHead(nil, kind, stream, 0)) }
+// sendEmptyFrame queues a frame without a payload.
+func (cl *client) sendEmptyFrame(kind byte, stream uint32) {
+	cl.queueOutput(frame.AppendHead(nil, kind, stream, 0))
+}
 
-// out guards against clients that send jobs and do not read: past a bound their connections are closed. 32 of the largest results are
-// 1.5 MB; the bound is 2 MB on the smallest machines. Where all connections together hold a quarter of the memory, it is an even
-// share of that quarter.
-func (k *client) out(head []byte, body ...[]byte) {
-	if k.gone {
+// queueOutput closes the connection of a client that sends jobs and does not read its answers, once its unsent output
+// passes a bound. 32 of the largest results take 1.5 MB; the bound is 2 MB on the smallest machines. While all
+// connections together hold a quarter of the memory, the bound is an even share of that quarter.
+func (cl *client) queueOutput(head []byte, body ...[]byte) {
+	if cl.disconnected {
 		return
 	}
-	c := k.c
-	k.add(append([][]byte{head}, body...)...)
-	most, all := c.cfg.MemoryMB<<20/16, c.cfg.MemoryMB<<20/4
-	if c.held.Load() > all {
-		most = min(most, all/int64(mostClients(c.cfg)))
+	c := cl.c
+	cl.enqueue(append([][]byte{head}, body...)...)
+	limit, sharedLimit := c.cfg.MemoryMB<<20/16, c.cfg.MemoryMB<<20/4
+	if c.connBytes.Load() > sharedLimit {
+		limit = min(limit, sharedLimit/int64(maxClients(c.cfg)))
 	}
-	if int64(k.backlog()) > most {
+	if int64(cl.backlog()) > limit {
 		c.counts[clientsTooSlow]++
-		c.drop(k)
+		c.dropClient(cl)
 	}
 }
 
-// closeSoon closes a connection without the lock, as the callbacks that follow take it.
-func (c *Controller) closeSoon(conn netpoll.Connection) { c.aside(func() { _ = conn.Close() }) }
+// closeAsync closes a connection outside the lock, because its close callbacks take the lock.
+func (c *Controller) closeAsync(conn netpoll.Connection) { c.spawn(func() { _ = conn.Close() }) }
 
-// drain begins the way to the exit: clients are told to send nothing new here, and what still comes is served.
-func (c *Controller) drain() {
+// startDrain begins the shutdown: clients are told to send nothing new here, and what still arrives is served.
+func (c *Controller) startDrain() {
 	if c.phase != Ready {
 		return
 	}
-	c.enter(Draining)
-	for _, k := range c.clients {
-		k.sendEmpty(frame.NoMore, 0)
-	}
-	// The platform lets connections and jobs come for 0.6 s after the signal, and kills no sooner than 0.7 s and
-	// the longest deadline, 3 s at most, after it. A tenth of a second is left for the last bytes to leave.
-	longest := time.Duration(0)
-	for _, t := range c.cfg.Settings.Logic.Classes {
-		longest = max(longest, t.Deadline)
-	}
-	first := c.now - c.age() + 700*time.Millisecond
-	c.exit = admission.NewExit(first, first+min(longest, 3*time.Second)-200*time.Millisecond)
-	c.at(first, c.leave)
-	last := c.exit.Last()
-	// Nothing is sent on that can't be answered before the end.
-	c.logic.Leaving(c.now, last)
+	c.setPhase(Draining)
+	for _, cl := range c.clients {
+		cl.sendEmptyFrame(frame.NoMore, 0)
+	}
+	// The platform lets connections and jobs arrive for 0.6 s after the signal. It kills the process no sooner than 0.7 s
+	// plus the longest deadline, which is at most 3 s, after the signal. 100 ms are left for the last bytes to be sent.
+	maxDeadline := time.Duration(0)
+	for _, class := range c.cfg.Settings.Logic.Classes {
+		maxDeadline = max(maxDeadline, class.Deadline)
+	}
+	leaveAt := c.now - c.maxInputAge() + 700*time.Millisecond
+	c.exit = admission.NewExit(leaveAt, leaveAt+min(maxDeadline, 3*time.Second)-200*time.Millisecond)
+	c.schedule(leaveAt, c.leaveRound)
+	deadline := c.exit.Last()
+	// An attempt whose answer can't arrive before the end is not sent.
+	c.logic.Leaving(c.now, deadline)
 	for _, id := range sorted(c.jobs) {
 		j := c.jobs[id]
-		if j.expires = min(j.expires, last); j.out != nil && j.out.until > last {
-			d := j.out
-			d.until, d.last = last, min(d.last, last)
-			c.at(last, func() { c.timeOut(d) })
+		if j.deadline = min(j.deadline, deadline); j.inFlight != nil && j.inFlight.deadline > deadline {
+			a := j.inFlight
+			a.deadline, a.sendBy = deadline, min(a.sendBy, deadline)
+			c.schedule(deadline, func() { c.attemptTimedOut(a) })
 		}
 	}
 }
 
-// leave ends the process once nothing is owed, or answers what is left when the time is over. What was sent before the
-// client heard that we leave, and lies unread, is owed too: it would be lost with the connection.
-func (c *Controller) leave() {
+// leaveRound ends the process once nothing is owed to clients, or answers what is left when the time is up. Unread input
+// counts as owed too: it was sent before the client learned that the controller leaves, and would be lost with the
+// connection.
+func (c *Controller) leaveRound() {
 	if c.phase == Draining {
-		c.enter(Leaving)
+		c.setPhase(Leaving)
 	}
-	owed := 0
-	for _, k := range c.clients {
-		if len(k.jobs) > 0 || k.backlog() > 0 || k.unread() {
-			owed++
+	busyClients := 0
+	for _, cl := range c.clients {
+		if len(cl.jobs) > 0 || cl.backlog() > 0 || cl.hasUnread() {
+			busyClients++
 		}
 	}
-	cut, end, next := c.exit.Round(c.now, owed)
+	cut, end, next := c.exit.Round(c.now, busyClients)
 	if cut {
 		for _, id := range sorted(c.jobs) {
 			if j := c.jobs[id]; j != nil && j.client != nil {
-				c.counts[cutByExit]++
-				c.cut(j)
+				c.counts[jobsCutByExit]++
+				c.abortJob(j)
 			}
 		}
 	}
 	if end {
-		c.parting.Store(true)
+		c.exiting.Store(true)
 		var ending []*client
 		for _, id := range sorted(c.clients) {
-			k := c.clients[id]
-			ending = append(ending, k)
-			c.part(k, "the process ends")
+			cl := c.clients[id]
+			ending = append(ending, cl)
+			c.closeClient(cl, "the process ends")
 		}
-		last := max(c.now+lastWords, c.exit.Last())
-		c.at(c.now+lastWords, func() { c.lastLook(ending, last) })
+		deadline := max(c.now+shutdownGrace, c.exit.Last())
+		c.schedule(c.now+shutdownGrace, func() { c.awaitShutdown(ending, deadline) })
 		return
 	}
-	c.at(next, c.leave)
+	c.schedule(next, c.leaveRound)
 }
 
-// lastLook ends the process once all connections of clients are shut, or when its time is over: on a slow machine their writers,
-// which answer what crosses the end, may need longer than usual.
-func (c *Controller) lastLook(ending []*client, last time.Duration) {
-	if c.now < last && slices.ContainsFunc(ending, func(k *client) bool { return !k.ended() }) {
-		c.at(c.now+lastLookEvery, func() { c.lastLook(ending, last) })
+// awaitShutdown ends the process once all client connections are shut down, or when its time is up. On a slow machine the
+// writers, which answer input that arrives during the close, may need longer than usual.
+func (c *Controller) awaitShutdown(ending []*client, deadline time.Duration) {
+	if c.now < deadline && slices.ContainsFunc(ending, func(cl *client) bool { return !cl.isShutOrClosed() }) {
+		c.schedule(c.now+shutdownPollInterval, func() { c.awaitShutdown(ending, deadline) })
 		return
 	}
-	c.fail(nil)
+	c.endRun(nil)
 }
 
-// lastLookEvery is fine against the time that is left.
-const lastLookEvery = 5 * time.Millisecond
+// shutdownPollInterval is short compared with the time that is left.
+const shutdownPollInterval = 5 * time.Millisecond
 
-// lastWords is from shutting the connections of clients to the end of the process: many trips, so that none is closed over
-// bytes that nobody read. It is a quarter of what is left between the cut and the kill.
-const lastWords = 50 * time.Millisecond
+// shutdownGrace is the time from shutting down client connections to the end of the process: many round trips, so that
+// none is closed while bytes on it are unread, which would reset it. It is a quarter of the time between the cut and the
+// kill.
+const shutdownGrace = 50 * time.Millisecond
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,8 +1,8 @@
-// Package controller carries out the decisions of package logic on real sockets: it takes jobs from clients,
-// sends them to engines, follows discovery, and answers each job exactly once.
+// Package controller carries out the decisions of package logic on real sockets: it accepts jobs from clients, sends them
+// to engines, follows discovery, and answers each job exactly once.
 //
-// One lock guards the module, the job table and the clock. Whoever holds it may queue output and start a dial,
-// but never flushes, dials or logs: each connection has a writer of its own, and logging follows the unlock.
+// One lock guards the module, the job table and the clock. Whoever holds it may queue output and start a dial, but never
+// flushes, dials or logs: each connection has a writer of its own, and log records are written after the unlock.
 package controller
 
 import (
@@ -25,14 +25,14 @@
 	"yarrowbarrow/logic"
 )
 
-// Phase is where a controller stands between start and exit.
+// Phase is the state of a controller between start and exit.
 type Phase int
 
 const (
 	Starting Phase = iota
 	Ready
-	Draining // told to stop: still takes jobs for a while
-	Leaving  // takes none, and goes once all are answered
+	Draining // told to stop: still accepts jobs for a while
+	Leaving  // accepts no jobs, and exits once all are answered
 	Stopped
 )
 
@@ -42,223 +42,229 @@
 
 // Controller is one running controller.
 type Controller struct {
-	cfg      config.Config
-	log      *slog.Logger
-	system   system
-	born     time.Time
-	bornUnix time.Duration // by the wall clock
-	ended    chan error    // one value ends Run
+	cfg       config.Config
+	log       *slog.Logger
+	sys       systemCalls
+	startTime time.Time
+	startUnix time.Duration // wall clock at the start
+	runResult chan error    // the first value ends Run
 
-	reloading sync.Mutex // one Reload at a time
-	mu        sync.Mutex
-	now       time.Duration // Unix time at the start and what the monotonic clock added since
-	phase     Phase
-	logic     logic.Module
-	module    func(logic.Host, logic.Settings, int64) logic.Module
-	router    *route.Router // nil without an operators' file
-	plan      *route.Plan   // the newest
-	apart     *spread.Apart // from the other controllers, in time
-	jobs      map[logic.JobID]*job
-	clients   map[admission.ConnID]*client
-	connected admission.ConnID // the newest
-	admission *admission.Control
-	exit      *admission.Exit // nil until told to stop
-	engines   map[logic.EngineID]*engine
-	byAddress map[string]*engine         // that has it now
-	used      map[logic.EngineID]*engine // with connections, dials or jobs that wait for one, and those that are gone
-	probes    map[string]*probe
-	fences    map[string]*attempt
-	links     int       // connections to engines, dials among them
-	short     []*engine // that wait for a descriptor, in order
-	making    int       // connections that are being closed for them
-	discovery *discovery
-	timers    timers
-	timer     *time.Timer
-	queue     []func()
-	lines     []slog.Record
-	counts    [counters]int64
+	reloadMu        sync.Mutex    // serializes Reload
+	mu              sync.Mutex    // guards the fields below, but for the atomic ones
+	now             time.Duration // Unix time at the start plus the monotonic time since
+	phase           Phase
+	logic           logic.Module
+	newModule       func(logic.Host, logic.Settings, int64) logic.Module
+	router          *route.Router // nil without an operators' file
+	plan            *route.Plan   // the newest version
+	stagger         *spread.Apart // staggers calls in time against those of the other controllers
+	jobs            map[logic.JobID]*job
+	clients         map[admission.ConnID]*client
+	lastConnID      admission.ConnID // id of the newest connection
+	admission       *admission.Control
+	exit            *admission.Exit // nil until told to stop
+	engines         map[logic.EngineID]*engine
+	engineByAddress map[string]*engine // the current owner of each address
+	// engines with connections, dials or waiting attempts, and those that are gone
+	activeEngines   map[logic.EngineID]*engine
+	probes          map[string]*probe
+	fences          map[string]*attempt
+	linkCount       int       // connections to engines, including dials
+	descriptorQueue []*engine // engines that wait for a descriptor, in order
+	closingForRoom  int       // connections that are being closed for them
+	discovery       *discovery
+	timers          timerHeap
+	runtimeTimer    *time.Timer
+	pendingCalls    []func()
+	logRecords      []slog.Record
+	counts          [counterCount]int64
 
 	violations [invariant.Count]int64
-	stood      standstill
-	newsSince  time.Duration // since when discovery may have said what was not read, as the process stood still; 0 for not
-	longest    time.Duration // of all standstills
-	tracing    bool          // the log is at level debug
+	lastStall  stall
+	// since when discovery may have sent input that a stalled process has not read, 0 if there is none
+	discoveryUnreadSince time.Duration
+	longestStall         time.Duration // the longest stall so far
+	tracing              bool          // the log is at level debug
 
-	bytes     int64        // of statements and pages
-	lingering atomic.Int64 // connections that are shut and not closed
-	unguarded bool
-	parting   atomic.Bool     // the process ends now: nothing new needs a descriptor
-	refusing  int             // connections from clients that are turned away and not closed
-	held      atomic.Int64    // bytes that connections keep: unsent, or of messages that are not whole
-	panics    []time.Duration // the last of them
-	idles     bool            // faults keep coming back: no job is taken until a new module has begun
-	logged    time.Duration   // when the counters last were
+	jobBytes        int64        // of statements and pages
+	lingeringConns  atomic.Int64 // connections that are shut down and not closed
+	checksDisabled  bool
+	exiting         atomic.Bool // the process exits now: nothing new needs a descriptor
+	turnedAwayConns int         // client connections that were turned away and are not closed
+	// bytes that connections hold: unsent output and incomplete messages
+	connBytes        atomic.Int64
+	recentPanics     []time.Duration // times of the most recent ones
+	paused           bool            // panics keep recurring: no job is accepted until a new module has started
+	countersLoggedAt time.Duration   // when the counters were last logged
 }
 
 // New prepares a controller; Run starts it.
 func New(cfg config.Config, log *slog.Logger) *Controller {
-	c := &Controller{cfg: cfg, log: log, system: linux(), born: time.Now(), bornUnix: wallClock(), ended: make(chan error, 1),
-		apart: spread.NewApart(cfg.Settings.Logic.Controllers, cfg.Settings.Logic.Number, cfg.Seed^1), jobs: map[logic.JobID]*job{}, clients: map[admission.ConnID]*client{},
-		engines: map[logic.EngineID]*engine{}, byAddress: map[string]*engine{}, used: map[logic.EngineID]*engine{}, probes: map[string]*probe{},
+	c := &Controller{cfg: cfg, log: log, sys: linuxCalls(), startTime: time.Now(), startUnix: wallClock(), runResult: make(chan error, 1),
+		stagger: spread.NewApart(cfg.Settings.Logic.Controllers, cfg.Settings.Logic.Number, cfg.Seed^1), jobs: map[logic.JobID]*job{}, clients: map[admission.ConnID]*client{},
+		engines: map[logic.EngineID]*engine{}, engineByAddress: map[string]*engine{}, activeEngines: map[logic.EngineID]*engine{}, probes: map[string]*probe{},
 		fences: map[string]*attempt{}}
-	c.module = func(h logic.Host, s logic.Settings, seed int64) logic.Module { return config.Module(h, s, seed) }
+	c.newModule = func(h logic.Host, s logic.Settings, seed int64) logic.Module { return config.Module(h, s, seed) }
 	c.discovery = &discovery{c: c, address: cfg.Discovery, pace: watch.For(cfg.Settings.DrainGrace), dials: map[int64]context.CancelFunc{}}
 	c.admission = newAdmission(c)
-	c.tracing = debugs(log)
+	c.tracing = debugEnabled(log)
 	return c
 }
 
-// Decide has another module decide than the one that serves, for baselines. unguarded leaves out the core's own last look at
-// an engine's service, and its check of a second effect, for those that break rules 2 and 3 to prove an audit. It is for before Run.
-func (c *Controller) Decide(module func(logic.Host, logic.Settings, int64) logic.Module, unguarded bool) {
-	c.module, c.unguarded = module, unguarded
+// Decide replaces the module that makes the decisions, for baselines. With unguarded, the controller omits its own last
+// check of an engine's state and its check against a second effect, for modules that break rules 2 and 3 to prove an
+// audit. Decide must be called before Run.
+func (c *Controller) Decide(newModule func(logic.Host, logic.Settings, int64) logic.Module, unguarded bool) {
+	c.newModule, c.checksDisabled = newModule, unguarded
 }
 
-// Run serves until the context ends and all that is owed is answered, or until an error that it can't survive.
+// Run serves until the context ends and every accepted job is answered, or until a fatal error.
 func (c *Controller) Run(ctx context.Context) error {
-	limit(c.cfg)
-	clients, err := c.listen(c.cfg.Listen)
+	setRuntimeLimits(c.cfg)
+	listener, err := c.listen(c.cfg.Listen)
 	if err != nil {
 		return err
 	}
-	defer clients.Close()
+	defer listener.Close()
 	var table *route.Table
 	if c.cfg.Plan != nil {
 		table = route.NewTable(c.cfg.Plan, nil)
 	}
-	c.timer = time.NewTimer(time.Hour)
-	c.aside(c.keepTime)
-	c.do(func() {
-		c.logic = c.module(host{c}, c.cfg.Settings.Logic, c.cfg.Seed)
-		c.adopt(c.cfg.Plan, table)
-		if err = c.discovery.remembered(c.cfg.Known); err != nil {
+	c.runtimeTimer = time.NewTimer(time.Hour)
+	c.spawn(c.runTimer)
+	c.withLock(func() {
+		c.logic = c.newModule(host{c}, c.cfg.Settings.Logic, c.cfg.Seed)
+		c.adoptRoutes(c.cfg.Plan, table)
+		if err = c.discovery.loadKnown(c.cfg.Known); err != nil {
 			return
 		}
 		c.discovery.start()
-		c.at(c.now+sweepEvery, c.sweep)
-		c.enter(Ready)
+		c.schedule(c.now+sweepInterval, c.sweep)
+		c.setPhase(Ready)
 	})
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	c.aside(func() { c.fail(fmt.Errorf("listener: %w", clients.serve())) })
+	c.spawn(func() { c.endRun(fmt.Errorf("listener: %w", listener.serve())) })
 	select {
 	case <-ctx.Done():
-		c.do(c.drain)
-		err = <-c.ended
-	case err = <-c.ended:
+		c.withLock(c.startDrain)
+		err = <-c.runResult
+	case err = <-c.runResult:
 	}
-	c.do(func() {
-		c.enter(Stopped)
-		c.violated(invariant.End(c.owed()), "open", len(c.jobs))
+	c.withLock(func() {
+		c.setPhase(Stopped)
+		c.reportViolation(invariant.End(c.unansweredJobs()), "open", len(c.jobs))
 	})
 	c.LogCounters()
 	return err
 }
 
-// Reload takes a new configuration while serving. A faulty one changes nothing. Discovery's address is followed at
-// once; the keys that only a restart can change are named in the log.
+// Reload applies a new configuration while serving. An invalid one changes nothing. A new discovery address takes effect
+// at once; the keys that only a restart can change are named in the log.
 func (c *Controller) Reload(read func() (config.Config, error)) error {
-	c.reloading.Lock()
-	defer c.reloading.Unlock()
-	next, err := readGuarded(read)
+	c.reloadMu.Lock()
+	defer c.reloadMu.Unlock()
+	next, err := readConfigGuarded(read)
 	var table *route.Table
-	if err == nil && next.Plan != nil { // which takes too long to be made under the lock
-		var before *route.Table
-		c.do(func() {
+	if err == nil && next.Plan != nil { // building the table takes too long for the lock
+		var oldTable *route.Table
+		c.withLock(func() {
 			if c.router != nil {
-				before = c.router.Table()
+				oldTable = c.router.Table()
 			}
 		})
-		table = route.NewTable(next.Plan, before)
+		table = route.NewTable(next.Plan, oldTable)
 	}
-	c.do(func() {
-		for _, m := range next.Messages[:min(len(next.Messages), mostMessages)] {
-			c.note(slog.LevelWarn, "operators' file", "says", m.String())
+	c.withLock(func() {
+		for _, m := range next.Messages[:min(len(next.Messages), maxMessages)] {
+			c.logEvent(slog.LevelWarn, "operators' file", "says", m.String())
 		}
 		if err != nil {
 			c.counts[reloadsFailed]++
-			c.note(slog.LevelError, "configuration not taken", "why", err)
+			c.logEvent(slog.LevelError, "configuration not taken", "why", err)
 			return
 		}
 		c.counts[reloads]++
-		c.note(slog.LevelInfo, "configuration taken", "discovery", next.Discovery, "after_restart", c.cfg.Differs(next))
-		c.discovery.move(next.Discovery)
-		c.adopt(next.Plan, table)
+		c.logEvent(slog.LevelInfo, "configuration taken", "discovery", next.Discovery, "after_restart", c.cfg.Differs(next))
+		c.discovery.changeAddress(next.Discovery)
+		c.adoptRoutes(next.Plan, table)
 	})
 	return err
 }
 
-// mostMessages of a check are logged; the command check shows them all.
-const mostMessages = 20
+// maxMessages is how many messages of a configuration check are logged; the command check shows them all.
+const maxMessages = 20
 
-// limit keeps the process inside its machine. The collector waits until what is held has grown fourfold, a few
-// tens of MB here, and starts to press at two thirds of the memory, which leaves room for what it does not count.
-func limit(cfg config.Config) {
+// setRuntimeLimits keeps the process within its machine. The garbage collector waits until the heap has grown fourfold, a
+// few tens of MB here, and collects more often from two thirds of the memory on, which leaves room for what it does not
+// count.
+func setRuntimeLimits(cfg config.Config) {
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	debug.SetGCPercent(300)
-	debug.SetMemoryLimit(min(cfg.MemoryMB<<20*2/3, (cfg.MemoryMB-programMB)<<20))
+	debug.SetMemoryLimit(min(cfg.MemoryMB<<20*2/3, (cfg.MemoryMB-programFileMB)<<20))
 }
 
-// programMB of memory are pages of the program's own file, which the platform counts and the collector does not know of.
-const programMB = 14
+// programFileMB is memory for pages of the program's own file, which the platform counts and the collector does not know
+// about.
+const programFileMB = 14
 
-// fail ends Run; only the first reason counts.
-func (c *Controller) fail(err error) {
+// endRun ends Run; only the first call counts.
+func (c *Controller) endRun(err error) {
 	select {
-	case c.ended <- err:
+	case c.runResult <- err:
 	default:
 	}
 }
 
-// enter is the one place where the phase changes.
-func (c *Controller) enter(next Phase) {
-	c.note(slog.LevelInfo, "phase", "from", c.phase.String(), "to", next.String())
-	c.phase = next
+// setPhase is the only place where the phase changes.
+func (c *Controller) setPhase(phase Phase) {
+	c.logEvent(slog.LevelInfo, "phase", "from", c.phase.String(), "to", phase.String())
+	c.phase = phase
 }
 
-// do runs f, and all that f brings about at once, under the lock. It is the only way to the module.
-func (c *Controller) do(f func()) {
+// withLock runs f, and then all calls that f has queued, under the lock. Only code that runs here may call the module.
+func (c *Controller) withLock(f func()) {
 	c.mu.Lock()
-	before := c.now
+	previous := c.now
 	c.now = c.clock()
-	c.noticeStandstill(before)
-	c.guarded(f)
-	for len(c.queue) > 0 {
-		next := c.queue[0]
-		c.queue = c.queue[1:]
-		c.guarded(next)
+	c.detectStall(previous)
+	c.runGuarded(f)
+	for len(c.pendingCalls) > 0 {
+		call := c.pendingCalls[0]
+		c.pendingCalls = c.pendingCalls[1:]
+		c.runGuarded(call)
 	}
-	c.arm()
-	lines := c.lines
-	c.lines = nil
+	c.armTimer()
+	records := c.logRecords
+	c.logRecords = nil
 	c.mu.Unlock()
-	for _, line := range lines {
-		_ = c.log.Handler().Handle(context.Background(), line)
+	for _, record := range records {
+		_ = c.log.Handler().Handle(context.Background(), record)
 	}
 }
 
-// all makes the calls that one write led to, under one lock.
-func (c *Controller) all(calls []func()) {
+// runAll makes the calls that follow one write, under one hold of the lock.
+func (c *Controller) runAll(calls []func()) {
 	if len(calls) == 0 {
 		return
 	}
-	c.do(func() {
+	c.withLock(func() {
 		for _, call := range calls {
 			call()
 		}
 	})
 }
 
-// later queues what a call of the host brings about, as the module must not be called from within itself.
-func (c *Controller) later(f func()) { c.queue = append(c.queue, f) }
+// runLater queues a call that a host method leads to, because the module must not be called from within itself.
+func (c *Controller) runLater(f func()) { c.pendingCalls = append(c.pendingCalls, f) }
 
-// note keeps a line to be logged after the unlock.
-func (c *Controller) note(level slog.Level, message string, values ...any) {
+// logEvent keeps a record to be logged after the unlock.
+func (c *Controller) logEvent(level slog.Level, message string, values ...any) {
 	if !c.log.Enabled(context.Background(), level) {
 		return
 	}
-	line := slog.NewRecord(time.Unix(0, int64(c.now)), level, message, 0)
-	line.Add(values...)
-	c.lines = append(c.lines, line)
+	record := slog.NewRecord(time.Unix(0, int64(c.now)), level, message, 0)
+	record.Add(values...)
+	c.logRecords = append(c.logRecords, record)
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -23,16 +23,16 @@
 	"yarrowbarrow/logic"
 )
 
-// patience bounds every wait of these tests; none of them sleeps.
-const patience = 10 * time.Second
+// testTimeout bounds every wait of these tests; none of them sleeps.
+const testTimeout = 10 * time.Second
 
 const rowA, rowB = "a\tb\tc\n", "d\te\tf\n"
 
-// standIn is an engine: what it is told comes out of said, and answers go where they were asked for.
-type standIn struct {
-	t    *testing.T
-	ln   net.Listener
-	said chan command
+// fakeEngine is an engine whose received commands are read from a channel; answers go to the connection of the command.
+type fakeEngine struct {
+	t        *testing.T
+	ln       net.Listener
+	received chan command
 }
 
 type command struct {
@@ -40,14 +40,14 @@
 	words []string
 }
 
-func newStandIn(t *testing.T, address string) *standIn {
-	e := &standIn{t: t, said: make(chan command, 1000)}
-	e.ln = listen(t, address, e.listen)
+func newFakeEngine(t *testing.T, address string) *fakeEngine {
+	e := &fakeEngine{t: t, received: make(chan command, 1000)}
+	e.ln = serveConns(t, address, e.serveConn)
 	return e
 }
 
-// listen hands each connection to serve, in a goroutine of its own.
-func listen(t *testing.T, address string, serve func(net.Conn)) net.Listener {
+// serveConns hands each connection to serve, on a goroutine of its own.
+func serveConns(t *testing.T, address string, serve func(net.Conn)) net.Listener {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	return ln
 }
 
-func (e *standIn) listen(conn net.Conn) {
+func (e *fakeEngine) serveConn(conn net.Conn) {
 	var data []byte
 	for buf := make([]byte, 4096); ; {
 		n, err := conn.Read(buf)
@@ -75,27 +75,27 @@
 			if size == 0 || err != nil {
 				break
 			}
-			c := command{conn: conn}
+			received := command{conn: conn}
 			for _, word := range words {
-				c.words = append(c.words, string(word))
+				received.words = append(received.words, string(word))
 			}
 			data = data[size:]
-			e.said <- c
+			e.received <- received
 		}
 	}
 }
 
-// hears waits for a command that begins so; others are passed over.
-func (e *standIn) hears(verb string) command {
+// expectCommand waits for a command with the given verb and skips others.
+func (e *fakeEngine) expectCommand(verb string) command {
 	e.t.Helper()
-	for late := time.After(patience); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
-		case c := <-e.said:
+		case c := <-e.received:
 			if c.words[0] == verb {
 				return c
 			}
-		case <-late:
-			e.t.Fatal("no ", verb)
+		case <-timeout:
+			e.t.Fatal("no command ", verb)
 		}
 	}
 }
@@ -108,22 +108,22 @@
 	_, _ = c.conn.Write(line)
 }
 
-// list is discovery: it holds events and answers calls over HTTP.
-type list struct {
-	ln     net.Listener
-	mu     sync.Mutex
-	events []string
-	wakes  chan struct{}
-	raw    string // answered instead, once
+// fakeDiscovery holds events and answers calls over HTTP.
+type fakeDiscovery struct {
+	ln        net.Listener
+	mu        sync.Mutex
+	events    []string
+	changed   chan struct{}
+	rawAnswer string // answered once instead of the events
 }
 
-func newList(t *testing.T) *list {
-	l := &list{wakes: make(chan struct{})}
-	l.ln = listen(t, "127.0.0.1:0", l.serve)
-	return l
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	d := &fakeDiscovery{changed: make(chan struct{})}
+	d.ln = serveConns(t, "127.0.0.1:0", d.serve)
+	return d
 }
 
-func (l *list) serve(conn net.Conn) {
+func (d *fakeDiscovery) serve(conn net.Conn) {
 	for buf := make([]byte, 4096); ; {
 		n, err := conn.Read(buf)
 		if err != nil {
@@ -133,78 +133,78 @@
 		after, _, _ = strings.Cut(after, "&")
 		last, _ := strconv.Atoi(after)
 		for {
-			l.mu.Lock()
-			wakes, raw, body := l.wakes, l.raw, l.text(last)
-			has := len(l.events) > last
-			l.raw = ""
-			l.mu.Unlock()
-			if raw != "" {
-				_, _ = conn.Write([]byte(raw))
+			d.mu.Lock()
+			changed, rawAnswer, body := d.changed, d.rawAnswer, d.eventsAfter(last)
+			hasEvents := len(d.events) > last
+			d.rawAnswer = ""
+			d.mu.Unlock()
+			if rawAnswer != "" {
+				_, _ = conn.Write([]byte(rawAnswer))
 				break
 			}
-			if has {
+			if hasEvents {
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 				break
 			}
-			<-wakes
+			<-changed
 		}
 	}
 }
 
-// text is the events behind a number.
-func (l *list) text(last int) string {
-	return fmt.Sprintf(`{"n":%d,"events":[%s]}`, len(l.events), strings.Join(l.events[min(last, len(l.events)):], ","))
+// eventsAfter returns the events after a number, as an answer's body.
+func (d *fakeDiscovery) eventsAfter(last int) string {
+	return fmt.Sprintf(`{"n":%d,"events":[%s]}`, len(d.events), strings.Join(d.events[min(last, len(d.events)):], ","))
 }
 
-// tell adds an event: engines as id, address and state.
-func (l *list) tell(whole bool, engines ...[3]string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// publish adds an event; engines are given as id, address and state.
+func (d *fakeDiscovery) publish(whole bool, engines ...[3]string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var hosts []string
 	for _, e := range engines {
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"east","class":"std","health":%q}`, e[0], e[1], e[2]))
 	}
-	l.events = append(l.events, fmt.Sprintf(`{"n":%d,"members":{"seq":1,"whole":%v,"hosts":[%s]}}`, len(l.events)+1,
+	d.events = append(d.events, fmt.Sprintf(`{"n":%d,"members":{"seq":1,"whole":%v,"hosts":[%s]}}`, len(d.events)+1,
 		whole, strings.Join(hosts, ",")))
-	close(l.wakes)
-	l.wakes = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (l *list) answersOnce(raw string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.raw = raw
-	close(l.wakes)
-	l.wakes = make(chan struct{})
+func (d *fakeDiscovery) answerOnce(raw string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.rawAnswer = raw
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// bed is a controller between stand-ins.
-type bed struct {
-	t       *testing.T
-	c       *Controller
-	list    *list
-	address string
-	stop    context.CancelFunc
-	ended   chan error
+// testbed is a controller with a fake discovery service and fake engines.
+type testbed struct {
+	t         *testing.T
+	c         *Controller
+	discovery *fakeDiscovery
+	address   string
+	stop      context.CancelFunc
+	runResult chan error
 }
 
-func start(t *testing.T, permissions string, engines ...*standIn) *bed {
-	return startWith(t, permissions, nil, engines...)
+func startController(t *testing.T, permissions string, engines ...*fakeEngine) *testbed {
+	return startWithConfig(t, permissions, nil, engines...)
 }
 
-// startWith changes the configuration first.
-func startWith(t *testing.T, permissions string, change func(*config.Config), engines ...*standIn) *bed {
+// startWithConfig starts a controller with a changed configuration.
+func startWithConfig(t *testing.T, permissions string, change func(*config.Config), engines ...*fakeEngine) *testbed {
 	return startPrepared(t, permissions, change, nil, engines...)
 }
 
 // startPrepared also prepares the controller before it runs.
-func startPrepared(t *testing.T, permissions string, change func(*config.Config), prepare func(*Controller), engines ...*standIn) *bed {
-	b := &bed{t: t, list: newList(t), ended: make(chan error, 1)}
+func startPrepared(t *testing.T, permissions string, change func(*config.Config), prepare func(*Controller), engines ...*fakeEngine) *testbed {
+	b := &testbed{t: t, discovery: newFakeDiscovery(t), runResult: make(chan error, 1)}
 	var hosts [][3]string
 	for n, e := range engines {
 		hosts = append(hosts, [3]string{"e" + strconv.Itoa(n), e.ln.Addr().String(), "active"})
 	}
-	b.list.tell(true, hosts...)
+	b.discovery.publish(true, hosts...)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 		"key_ttl":12000000000}],"machine_types":["std"],"zone":"east","tick":5000000,
 		"family_info":{"kind_cores":[4],"ram_of_kind_mb":[1000],"grants_count":true,"grant_cap":0.5},
 		"permissions":{"connect_timeout":250000000,"streams_per_conn":32,"max_attempts":3,"may_cancel":true,
-		"retry_after":true,"max_retry_after":1000000000%s}}}`, b.address, b.list.ln.Addr(), b.list.text(0),
+		"retry_after":true,"max_retry_after":1000000000%s}}}`, b.address, b.discovery.ln.Addr(), b.discovery.eventsAfter(0),
 		permissions), "", "")
 	if err != nil {
 		t.Fatal(err)
@@ -231,59 +231,59 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
-	go func() { b.ended <- b.c.Run(ctx) }()
+	go func() { b.runResult <- b.c.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		b.exits()
+		b.awaitExit()
 	})
 	return b
 }
 
-// exits waits for the end of Run, once or again.
-func (b *bed) exits() {
+// awaitExit waits for the end of Run. It may be called several times.
+func (b *testbed) awaitExit() {
 	b.t.Helper()
 	select {
-	case err := <-b.ended:
+	case err := <-b.runResult:
 		if err != nil {
 			b.t.Error("Run:", err)
 		}
-		b.ended <- nil
-	case <-time.After(patience):
+		b.runResult <- nil
+	case <-time.After(testTimeout):
 		b.t.Error("Run does not end")
 	}
 }
 
-type conn struct {
+type testClient struct {
 	net.Conn
 	t *testing.T
 }
 
-// client connects and waits until the controller is ready.
-func (b *bed) client() conn {
+// connect opens a client connection and waits until the controller is ready.
+func (b *testbed) connect() testClient {
 	b.t.Helper()
-	for late := time.Now().Add(patience); time.Now().Before(late); {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			continue
 		}
 		b.t.Cleanup(func() { c.Close() })
-		_ = c.SetDeadline(time.Now().Add(patience))
-		k := conn{c, b.t}
-		k.write(frame.AppendHead(nil, frame.Ready, 900, 1), []byte{0})
-		k.gets(frame.IsReady, 900, 1, "")
-		return k
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
+		cl := testClient{c, b.t}
+		cl.write(frame.AppendHead(nil, frame.Ready, 900, 1), []byte{0})
+		cl.expectFrame(frame.IsReady, 900, 1, "")
+		return cl
 	}
 	b.t.Fatal("not ready")
-	return conn{}
+	return testClient{}
 }
 
-func (k conn) write(parts ...[]byte) {
-	if _, err := k.Write(bytes.Join(parts, nil)); err != nil {
-		k.t.Fatal(err)
+func (cl testClient) write(parts ...[]byte) {
+	if _, err := cl.Write(bytes.Join(parts, nil)); err != nil {
+		cl.t.Fatal(err)
 	}
 }
 
-// jobFrame is a job as it is sent; fields come in pairs.
+// jobFrame encodes a job; fields come in pairs of name and value.
 func jobFrame(stream uint32, body string, fields ...string) []byte {
 	payload := []byte{byte(len(fields) / 2)}
 	for n := 0; n < len(fields); n += 2 {
@@ -293,25 +293,25 @@
 	return append(frame.AppendHead(nil, frame.Job, stream, len(payload)), payload...)
 }
 
-// asks sends a job.
-func (k conn) asks(stream uint32, body string, fields ...string) {
-	k.write(jobFrame(stream, body, fields...))
+// sendJob sends a job.
+func (cl testClient) sendJob(stream uint32, body string, fields ...string) {
+	cl.write(jobFrame(stream, body, fields...))
 }
 
-func (k conn) quick(stream uint32, wait string) {
-	k.asks(stream, "select 1", "class", "quick", "id", fmt.Sprintf("%016x", stream), "wait", wait)
+func (cl testClient) sendQuickJob(stream uint32, wait string) {
+	cl.sendJob(stream, "select 1", "class", "quick", "id", fmt.Sprintf("%016x", stream), "wait", wait)
 }
 
-// next reads a frame.
-func (k conn) next() (kind byte, stream uint32, code byte, fields map[string]string, body string) {
-	k.t.Helper()
+// readFrame reads a frame.
+func (cl testClient) readFrame() (kind byte, stream uint32, code byte, fields map[string]string, body string) {
+	cl.t.Helper()
 	head := make([]byte, frame.HeadSize)
-	if _, err := io.ReadFull(k, head); err != nil {
-		k.t.Fatal("no frame: ", err)
+	if _, err := io.ReadFull(cl, head); err != nil {
+		cl.t.Fatal("no frame: ", err)
 	}
 	payload := make([]byte, int(head[2])<<8+int(head[3])-frame.MinLength)
-	if _, err := io.ReadFull(k, payload); err != nil {
-		k.t.Fatal(err)
+	if _, err := io.ReadFull(cl, payload); err != nil {
+		cl.t.Fatal(err)
 	}
 	fields = map[string]string{}
 	if len(payload) > 0 {
@@ -322,51 +322,51 @@
 	return head[4], uint32(head[7])<<8 + uint32(head[8]), code, fields, body
 }
 
-// gets wants a certain frame next and gives its fields.
-func (k conn) gets(kind byte, stream uint32, code byte, body string) map[string]string {
-	k.t.Helper()
-	gotKind, gotStream, gotCode, fields, gotBody := k.next()
+// expectFrame requires that the next frame is the given one, and returns its fields.
+func (cl testClient) expectFrame(kind byte, stream uint32, code byte, body string) map[string]string {
+	cl.t.Helper()
+	gotKind, gotStream, gotCode, fields, gotBody := cl.readFrame()
 	if gotKind != kind || gotStream != stream || gotCode != code || gotBody != body {
-		k.t.Fatalf("type %d, stream %d, code %d, body %q, %v; wanted %d, %d, %d, %q", gotKind, gotStream, gotCode,
+		cl.t.Fatalf("type %d, stream %d, code %d, body %q, %v; wanted %d, %d, %d, %q", gotKind, gotStream, gotCode,
 			gotBody, fields, kind, stream, code, body)
 	}
 	return fields
 }
 
-func (k conn) closes() {
-	k.t.Helper()
-	if n, err := k.Read(make([]byte, 1)); err != io.EOF {
-		k.t.Fatal("still open: ", n, err)
+func (cl testClient) expectClosed() {
+	cl.t.Helper()
+	if n, err := cl.Read(make([]byte, 1)); err != io.EOF {
+		cl.t.Fatal("still open: ", n, err)
 	}
 }
 
 func TestPages(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", e).client()
-	k.asks(1, "select * from a_1.t\r\n*1", "class", "load", "id", "00000000000000a1", "wait", "2000", "once", "k1",
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", e).connect()
+	cl.sendJob(1, "select * from a_1.t\r\n*1", "class", "load", "id", "00000000000000a1", "wait", "2000", "once", "k1",
 		"memory", "100", "cost", "20.5")
-	c := e.hears("serve")
+	c := e.expectCommand("serve")
 	if c.words[1] != "00000000000000a1" || c.words[3] != "select * from a_1.t\r\n*1" ||
 		!strings.HasPrefix(c.words[2], "class=load,wait=") || !strings.Contains(c.words[2], ",once=k1,heap=125") {
 		t.Errorf("%q", c.words)
 	}
 	c.answer("HIT", "count=3,ticks=20,footprint=96,stats=util:0.5", "a\tb\tc\n")
-	e.hears("read")
-	e.hears("read")
+	e.expectCommand("read")
+	e.expectCommand("read")
 	c.answer("PART", "pos=2", "g\th\ti\n")
 	c.answer("PART", "pos=1", "d\te\tf\n")
-	k.gets(frame.Answer, 1, frame.Done, "a\tb\tc\nd\te\tf\ng\th\ti\n")
-	if r := e.hears("release"); r.words[1] != "00000000000000a1" {
+	cl.expectFrame(frame.Answer, 1, frame.Done, "a\tb\tc\nd\te\tf\ng\th\ti\n")
+	if r := e.expectCommand("release"); r.words[1] != "00000000000000a1" {
 		t.Error(r.words)
 	}
 }
 
-// TestSpoiltAnswer: what can't be trusted ends its connection and fails the job there at once, and no other; a
-// good answer elsewhere serves it.
+// TestSpoiltAnswer: an invalid answer closes its connection and fails the job there at once, but no job on another
+// connection. A valid answer to the next attempt completes the job.
 func TestSpoiltAnswer(t *testing.T) {
 	for _, answers := range [][]string{
 		{"HIT", "count=2", rowA, "PART", "pos=1", "no end of row"},
-		{"HIT", "count=2", rowA, "PART", "pos=0", rowB}, // there already, and not the same
+		{"HIT", "count=2", rowA, "PART", "pos=0", rowB}, // received already, with other contents
 		{"HIT", "count=2", rowA, "PART", "pos=2", rowB},
 		{"HIT", "count=2", rowA, "PART", "pos=1", ""},
 		{"HIT", "count=1", "two\tcolumns\n"},
@@ -379,28 +379,28 @@
 		{"HIT", "count=1,stats=util:inf", rowA},
 		{"HAT", "count=1", rowA},
 	} {
-		e := newStandIn(t, "127.0.0.1:0")
-		k := start(t, "", e).client()
-		k.quick(1, "2900")
-		other := e.hears("serve")
-		k.quick(2, "2900")
-		c := e.hears("serve")
+		e := newFakeEngine(t, "127.0.0.1:0")
+		cl := startController(t, "", e).connect()
+		cl.sendQuickJob(1, "2900")
+		other := e.expectCommand("serve")
+		cl.sendQuickJob(2, "2900")
+		c := e.expectCommand("serve")
 		for n := 0; n < len(answers); n += 3 {
 			c.answer(answers[n : n+3]...)
 		}
-		e.hears("serve").answer("HIT", "count=1", rowB)
-		k.gets(frame.Answer, 2, frame.Done, rowB)
+		e.expectCommand("serve").answer("HIT", "count=1", rowB)
+		cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
 		other.answer("HIT", "count=1", rowA)
-		k.gets(frame.Answer, 1, frame.Done, rowA)
+		cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 	}
 }
 
-// TestMoreThanAsked: second copies and answers under ids of nobody do no harm.
+// TestMoreThanAsked: duplicate answers, and answers under unknown ids, do no harm.
 func TestMoreThanAsked(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", e).client()
-	k.quick(1, "2900")
-	c := e.hears("serve")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", e).connect()
+	cl.sendQuickJob(1, "2900")
+	c := e.expectCommand("serve")
 	stray := c
 	stray.words = []string{"serve", "00000000000000ff"}
 	stray.answer("HIT", "count=1", rowB)
@@ -409,256 +409,259 @@
 	c.answer("PART", "pos=0", rowA)
 	c.answer("PART", "pos=1", rowB)
 	c.answer("PART", "pos=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowA+rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA+rowB)
 }
 
-// TestAnswerStops: an answer that breaks off on an open connection is not waited for until the job's time is up.
+// TestAnswerStops: when an answer breaks off on a connection that stays open, the controller tries again well before the
+// job's deadline.
 func TestAnswerStops(t *testing.T) {
-	for _, begins := range []string{"*4\r\n$16\r\n00000000000", ""} {
-		e := newStandIn(t, "127.0.0.1:0")
-		b := start(t, "", e)
-		k := b.client()
-		k.quick(1, "2900")
-		if c := e.hears("serve"); begins != "" {
-			_, _ = c.conn.Write([]byte(begins))
+	for _, partial := range []string{"*4\r\n$16\r\n00000000000", ""} {
+		e := newFakeEngine(t, "127.0.0.1:0")
+		b := startController(t, "", e)
+		cl := b.connect()
+		cl.sendQuickJob(1, "2900")
+		if c := e.expectCommand("serve"); partial != "" {
+			_, _ = c.conn.Write([]byte(partial))
 		} else {
 			c.answer("HIT", "count=2", rowA)
 		}
-		began := time.Now()
-		e.hears("serve").answer("HIT", "count=1", rowB)
-		k.gets(frame.Answer, 1, frame.Done, rowB)
-		if took := time.Since(began); took > 1500*time.Millisecond {
-			t.Error("noticed after", took)
+		start := time.Now()
+		e.expectCommand("serve").answer("HIT", "count=1", rowB)
+		cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
+		if took := time.Since(start); took > 1500*time.Millisecond {
+			t.Error("retried only after", took)
 		}
 	}
 }
 
 func TestThrottledWithAfter(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, `,"open_cap":1`, e).client()
-	k.quick(1, "2000")
-	c := e.hears("serve")
-	k.quick(2, "2000")
-	if fields := k.gets(frame.Answer, 2, frame.Rejected, ""); fields["after"] != "1000" {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, `,"open_cap":1`, e).connect()
+	cl.sendQuickJob(1, "2000")
+	c := e.expectCommand("serve")
+	cl.sendQuickJob(2, "2000")
+	if fields := cl.expectFrame(frame.Answer, 2, frame.Rejected, ""); fields["after"] != "1000" {
 		t.Error(fields)
 	}
 	c.answer("HIT", "count=1", "")
-	k.gets(frame.Answer, 1, frame.Done, "")
+	cl.expectFrame(frame.Answer, 1, frame.Done, "")
 }
 
 func TestEngineResets(t *testing.T) {
-	a, b := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", a, b).client()
-	k.quick(1, "2500")
+	a, b := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", a, b).connect()
+	cl.sendQuickJob(1, "2500")
 	var c command
 	other := a
 	select {
-	case c = <-a.said:
+	case c = <-a.received:
 		other = b
-	case c = <-b.said:
+	case c = <-b.received:
 	}
 	c.answer("HIT", "count=2", rowA)
 	_ = c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
-	other.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowB)
+	other.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 }
 
 func TestSilentEngine(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", e).client()
-	began := time.Now()
-	k.quick(1, "600")
-	e.hears("serve")
-	k.gets(frame.Answer, 1, frame.Rejected, "")
-	if took := time.Since(began); took > 650*time.Millisecond {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", e).connect()
+	start := time.Now()
+	cl.sendQuickJob(1, "600")
+	e.expectCommand("serve")
+	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
+	if took := time.Since(start); took > 650*time.Millisecond {
 		t.Error("answered after", took)
 	}
-	e.hears("cancel")
+	e.expectCommand("cancel")
 }
 
 // TestOneTimeOut: a connection on which a job timed out stays in use while its engine answers on others.
 func TestOneTimeOut(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", e).client()
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", e).connect()
 	conns := map[net.Conn]bool{}
-	both := func(stream uint32, wait string) (one, other command) {
-		k.quick(stream, wait)
-		one = e.hears("serve")
-		k.quick(stream+1, "2900")
-		other = e.hears("serve")
+	sendTwo := func(stream uint32, wait string) (one, other command) {
+		cl.sendQuickJob(stream, wait)
+		one = e.expectCommand("serve")
+		cl.sendQuickJob(stream+1, "2900")
+		other = e.expectCommand("serve")
 		conns[one.conn], conns[other.conn] = true, true
 		return one, other
 	}
-	one, other := both(1, "2900")
+	one, other := sendTwo(1, "2900")
 	one.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 	other.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 2, frame.Done, rowA)
-	_, other = both(3, "500")
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowA)
+	_, other = sendTwo(3, "500")
 	other.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 4, frame.Done, rowA)
-	k.gets(frame.Answer, 3, frame.Rejected, "")
-	if both(5, "2900"); len(conns) != 2 {
+	cl.expectFrame(frame.Answer, 4, frame.Done, rowA)
+	cl.expectFrame(frame.Answer, 3, frame.Rejected, "")
+	if sendTwo(5, "2900"); len(conns) != 2 {
 		t.Error(len(conns), "connections")
 	}
 }
 
-// TestStopsBeforeNext: the next attempt goes out only once the engine has taken in that the one before is over.
+// TestStopsBeforeNext: the next attempt is sent only after the engine has confirmed that it received the cancel of the
+// previous one.
 func TestStopsBeforeNext(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, `,"probes":true`, e).client()
-	k.asks(1, "select 1", "class", "quick", "id", "0000000000000001", "wait", "2900", "cost", "10")
-	e.hears("serve")
-	e.hears("cancel")
-	fence := e.hears("health")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, `,"probes":true`, e).connect()
+	cl.sendJob(1, "select 1", "class", "quick", "id", "0000000000000001", "wait", "2900", "cost", "10")
+	e.expectCommand("serve")
+	e.expectCommand("cancel")
+	fence := e.expectCommand("health")
 	select {
-	case c := <-e.said:
-		t.Error("before the fence: ", c.words)
+	case c := <-e.received:
+		t.Error("sent before the fence was passed: ", c.words)
 	default:
 	}
 	fence.answer("PONG", "-", "")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 }
 
 func TestClientGone(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", e).client()
-	k.quick(1, "2000")
-	e.hears("serve")
-	k.write(frame.AppendHead(nil, frame.Gone, 1, 0))
-	if c := e.hears("cancel"); c.words[1] != "0000000000000001" {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", e).connect()
+	cl.sendQuickJob(1, "2000")
+	e.expectCommand("serve")
+	cl.write(frame.AppendHead(nil, frame.Gone, 1, 0))
+	if c := e.expectCommand("cancel"); c.words[1] != "0000000000000001" {
 		t.Error(c.words)
 	}
-	k.quick(2, "2000") // the next answer is the next job's
-	e.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 2, frame.Done, rowB)
-	k.Close()
+	cl.sendQuickJob(2, "2000") // the next answer belongs to the next job
+	e.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
+	cl.Close()
 }
 
 func TestEngineReplaced(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "2900")
-	old := e.hears("serve")
-	b.list.tell(false, [3]string{"e9", e.ln.Addr().String(), "active"}, [3]string{"e0", e.ln.Addr().String(), "left"})
-	k.quick(2, "2900")
-	c := e.hears("serve")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2900")
+	old := e.expectCommand("serve")
+	b.discovery.publish(false, [3]string{"e9", e.ln.Addr().String(), "active"}, [3]string{"e0", e.ln.Addr().String(), "left"})
+	cl.sendQuickJob(2, "2900")
+	c := e.expectCommand("serve")
 	if c.conn == old.conn && c.words[1] == "0000000000000002" {
-		// Told before the change arrived; the next job is sent after it.
+		// Sent before the change arrived; the next job is sent after it.
 		c.answer("HIT", "count=1", rowA)
-		k.gets(frame.Answer, 2, frame.Done, rowA)
-		b.knows("e9")
-		k.quick(3, "2900")
-		c = e.hears("serve")
+		cl.expectFrame(frame.Answer, 2, frame.Done, rowA)
+		b.waitForEngine("e9")
+		cl.sendQuickJob(3, "2900")
+		c = e.expectCommand("serve")
 	}
 	if c.conn == old.conn {
-		t.Error("the old engine's connection")
+		t.Error("sent on the old engine's connection")
 	}
 }
 
-// until waits for a condition, which is looked at under the lock.
-func (b *bed) until(holds func() bool) {
+// waitUntil waits for a condition, which is evaluated under the lock.
+func (b *testbed) waitUntil(condition func() bool) {
 	b.t.Helper()
-	for late := time.Now().Add(patience); time.Now().Before(late); {
-		held := false
-		b.c.do(func() { held = holds() })
-		if held {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
+		met := false
+		b.c.withLock(func() { met = condition() })
+		if met {
 			return
 		}
 	}
-	b.t.Fatal("waited in vain")
+	b.t.Fatal("condition not met in time")
 }
 
-// knows waits until an engine is listed.
-func (b *bed) knows(id logic.EngineID) {
+// waitForEngine waits until an engine is listed.
+func (b *testbed) waitForEngine(id logic.EngineID) {
 	b.t.Helper()
-	b.until(func() bool { return b.c.engines[id] != nil })
+	b.waitUntil(func() bool { return b.c.engines[id] != nil })
 }
 
-// TestDrainTakesBack: what has not left yet when an engine is to drain goes elsewhere. A long tick keeps it back.
+// TestDrainTakesBack: an attempt that is still unsent when its engine is to drain goes to another engine. A long tick
+// keeps it in the queue.
 func TestDrainTakesBack(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := start(t, longTick, e)
-	k := b.client()
-	b.queued(e, k)
-	b.list.tell(false, [3]string{"e0", e.ln.Addr().String(), "leaving"}, [3]string{"e1", f.ln.Addr().String(), "active"})
-	b.goesElsewhere(e, f, k)
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, longTick, e)
+	cl := b.connect()
+	b.queueSecondJob(e, cl)
+	b.discovery.publish(false, [3]string{"e0", e.ln.Addr().String(), "leaving"}, [3]string{"e1", f.ln.Addr().String(), "active"})
+	b.expectRerouted(e, f, cl)
 }
 
-// longTick keeps what is queued from the writer for a second.
+// longTick delays the writers by a second.
 const longTick = `},"tick":1000000000,"more":{"none":0`
 
-// queued has a second job wait in the writer of an engine's connection, behind one that was answered.
-func (b *bed) queued(e *standIn, k conn) {
+// queueSecondJob leaves a second job in the output queue of an engine's connection, after a first one that was answered.
+func (b *testbed) queueSecondJob(e *fakeEngine, cl testClient) {
 	b.t.Helper()
-	k.quick(1, "2900")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	b.until(func() bool { return b.c.counts[done] == 1 })
-	k.quick(2, "2900")
-	b.until(func() bool { return len(b.c.jobs) == 1 })
+	cl.sendQuickJob(1, "2900")
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	b.waitUntil(func() bool { return b.c.counts[jobsDone] == 1 })
+	cl.sendQuickJob(2, "2900")
+	b.waitUntil(func() bool { return len(b.c.jobs) == 1 })
 }
 
-// goesElsewhere takes what the list tells at once, as discovery's calls wait a tick too, and wants what was queued on one
-// engine served by another.
-func (b *bed) goesElsewhere(from, to *standIn, k conn) {
+// expectRerouted applies the fake discovery's events at once, because discovery calls wait for a tick too, and requires
+// that the job queued for one engine is served by another.
+func (b *testbed) expectRerouted(from, to *fakeEngine, cl testClient) {
 	b.t.Helper()
-	events, err := listing.Parse([]byte(b.list.text(1)), 100)
+	events, err := listing.Parse([]byte(b.discovery.eventsAfter(1)), 100)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.c.do(func() { b.c.discovery.tell(events, whole) })
-	to.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	k.gets(frame.Answer, 2, frame.Done, rowB)
+	b.c.withLock(func() { b.c.discovery.applyEvents(events, listKind) })
+	to.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
 	select {
-	case c := <-from.said:
-		b.t.Error("sent all the same: ", c.words)
+	case c := <-from.received:
+		b.t.Error("sent to the old engine: ", c.words)
 	default:
 	}
 }
 
 func TestDiscoveryLost(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	b.list.answersOnce("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")
-	k.quick(1, "2000")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	b.list.tell(false, [3]string{"e9", f.ln.Addr().String(), "active"}) // heard once discovery is back
-	b.knows("e9")
-}
-
-// TestReload: a new address of discovery is followed from the last number held, and the old one tells nothing more; a
-// faulty configuration changes nothing.
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	b.discovery.answerOnce("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello")
+	cl.sendQuickJob(1, "2000")
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	b.discovery.publish(false, [3]string{"e9", f.ln.Addr().String(), "active"}) // received once discovery answers again
+	b.waitForEngine("e9")
+}
+
+// TestReload: a new discovery address is followed from the last event number on, and nothing from the old address is
+// applied any more. An invalid configuration changes nothing.
 func TestReload(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	b.client()
-	other := newList(t)
-	other.events = append(other.events, b.list.events...)
-	taken := func(discovery string) func() (config.Config, error) {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	b.connect()
+	other := newFakeDiscovery(t)
+	other.events = append(other.events, b.discovery.events...)
+	withDiscovery := func(discovery string) func() (config.Config, error) {
 		return func() (config.Config, error) {
 			next := b.c.cfg
 			next.Discovery = discovery
 			return next, nil
 		}
 	}
-	for _, l := range []*list{other, b.list, other} {
-		if err := b.c.Reload(taken(l.ln.Addr().String())); err != nil {
+	for _, l := range []*fakeDiscovery{other, b.discovery, other} {
+		if err := b.c.Reload(withDiscovery(l.ln.Addr().String())); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.list.tell(false, [3]string{"late", "127.0.0.1:1", "active"})
+	b.discovery.publish(false, [3]string{"late", "127.0.0.1:1", "active"})
 	if err := b.c.Reload(func() (config.Config, error) { return config.Config{}, io.EOF }); err != io.EOF {
 		t.Error(err)
 	}
-	other.tell(false, [3]string{"e9", "127.0.0.1:2", "active"})
-	b.knows("e9")
-	b.c.do(func() {
+	other.publish(false, [3]string{"e9", "127.0.0.1:2", "active"})
+	b.waitForEngine("e9")
+	b.c.withLock(func() {
 		if b.c.engines["late"] != nil || b.c.counts[reloads] != 3 || b.c.counts[reloadsFailed] != 1 {
 			t.Error(b.c.engines, b.c.counts[reloads])
 		}
@@ -666,72 +669,72 @@
 }
 
 func TestStopsWithJobsOpen(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "2000")
-	c := e.hears("serve")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2000")
+	c := e.expectCommand("serve")
 	b.stop()
-	k.gets(frame.NoMore, 0, 0, "")
-	k.write(frame.AppendHead(nil, frame.Ready, 5, 1), []byte{0})
-	k.gets(frame.IsReady, 5, 2, "")
-	k.quick(2, "2000") // crossed the word to stop
-	d := e.hears("serve")
+	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.write(frame.AppendHead(nil, frame.Ready, 5, 1), []byte{0})
+	cl.expectFrame(frame.IsReady, 5, 2, "")
+	cl.sendQuickJob(2, "2000") // sent before the client learned of the stop
+	d := e.expectCommand("serve")
 	c.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 	d.answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 2, frame.Done, rowB)
-	b.exits()
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
+	b.awaitExit()
 }
 
-// TestLateWhileLeaving: a client that comes, or sends, when the controller is about to go is answered all the same, so
-// that a job that a slow machine brings late is rejected and not lost.
+// TestLateWhileLeaving: a client that connects, or sends a job, just before the controller exits gets an answer, so that
+// a job that a slow machine delivers late is rejected and not lost.
 func TestLateWhileLeaving(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "2500")
-	c := e.hears("serve")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2500")
+	c := e.expectCommand("serve")
 	b.stop()
-	k.gets(frame.NoMore, 0, 0, "")
-	b.until(func() bool { return b.c.phase == Leaving })
-	late, err := net.Dial("tcp", b.address)
+	cl.expectFrame(frame.NoMore, 0, 0, "")
+	b.waitUntil(func() bool { return b.c.phase == Leaving })
+	lateConn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer late.Close()
-	l := conn{late, t}
-	l.quick(3, "2000")
-	l.gets(frame.NoMore, 0, 0, "")
-	l.gets(frame.Answer, 3, frame.Rejected, "")
-	k.quick(2, "2000")
-	k.gets(frame.Answer, 2, frame.Rejected, "")
+	defer lateConn.Close()
+	lateClient := testClient{lateConn, t}
+	lateClient.sendQuickJob(3, "2000")
+	lateClient.expectFrame(frame.NoMore, 0, 0, "")
+	lateClient.expectFrame(frame.Answer, 3, frame.Rejected, "")
+	cl.sendQuickJob(2, "2000")
+	cl.expectFrame(frame.Answer, 2, frame.Rejected, "")
 	c.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	b.exits()
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	b.awaitExit()
 }
 
-// TestStopsOnSilence: what nothing answers is failed before the time is over.
+// TestStopsOnSilence: a job that its engine does not answer is rejected before the exit deadline.
 func TestStopsOnSilence(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "60000")
-	e.hears("serve")
-	began := time.Now()
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "60000")
+	e.expectCommand("serve")
+	start := time.Now()
 	b.stop()
-	k.gets(frame.NoMore, 0, 0, "")
-	k.gets(frame.Answer, 1, frame.Rejected, "")
-	b.exits()
-	if took := time.Since(began); took > 3700*time.Millisecond {
+	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
+	b.awaitExit()
+	if took := time.Since(start); took > 3700*time.Millisecond {
 		t.Error("exit after", took)
 	}
 }
 
 func TestMalformedFromClient(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
 	for stream, fields := range [][]string{
 		{"id", "0000000000000001", "wait", "100"},
 		{"class", "nope", "id", "0000000000000001", "wait", "100"},
@@ -749,167 +752,167 @@
 		{"class", "quick", "id", "0000000000000001", "wait", "100", "id", "0000000000000002"},
 		{"class", "load", "id", "0000000000000001", "wait", "100"},
 	} {
-		k.asks(uint32(stream+1), "", fields...)
-		if got := k.gets(frame.Answer, uint32(stream+1), frame.Failed, ""); got["error"] == "" {
+		cl.sendJob(uint32(stream+1), "", fields...)
+		if got := cl.expectFrame(frame.Answer, uint32(stream+1), frame.Failed, ""); got["error"] == "" {
 			t.Error(got)
 		}
 	}
 	for _, data := range [][]byte{{0, 0, 0, 1}, {0x7f, 0, 0, 0}, frame.AppendHead(nil, 77, 1, 0)} {
-		k := b.client()
-		k.write(data)
-		k.gets(frame.Answer, 0, frame.Failed, "")
-		k.closes()
-	}
-	k.quick(30, "2000")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 30, frame.Done, rowA)
-	k.quick(31, "2000") // is answered before the connection ends
-	e.hears("serve")
-	k.quick(30, "2000") // not new, though the job is over
-	k.gets(frame.Answer, 31, frame.Failed, "")
-	k.gets(frame.Answer, 0, frame.Failed, "")
-	k.closes()
-	e.hears("cancel")
-}
-
-// TestTooManyOpen: past the protocol's number of open jobs a client's are turned away, others' are not.
+		cl := b.connect()
+		cl.write(data)
+		cl.expectFrame(frame.Answer, 0, frame.Failed, "")
+		cl.expectClosed()
+	}
+	cl.sendQuickJob(30, "2000")
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	cl.expectFrame(frame.Answer, 30, frame.Done, rowA)
+	cl.sendQuickJob(31, "2000") // answered before the connection closes
+	e.expectCommand("serve")
+	cl.sendQuickJob(30, "2000") // not new, although the job is over
+	cl.expectFrame(frame.Answer, 31, frame.Failed, "")
+	cl.expectFrame(frame.Answer, 0, frame.Failed, "")
+	cl.expectClosed()
+	e.expectCommand("cancel")
+}
+
+// TestTooManyOpen: a client with more open jobs than the protocol allows gets rejections; other clients do not.
 func TestTooManyOpen(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k, other := b.client(), b.client()
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl, other := b.connect(), b.connect()
 	for stream := range uint32(33) {
-		k.quick(stream+1, "2900")
+		cl.sendQuickJob(stream+1, "2900")
 	}
-	for last := uint32(0); last != 33; { // the module may turn others away
-		_, stream, code, _, _ := k.next()
+	for last := uint32(0); last != 33; { // the module may reject others
+		_, stream, code, _, _ := cl.readFrame()
 		if last = stream; code != frame.Rejected {
 			t.Fatal(stream, code)
 		}
 	}
-	other.asks(1, "select 1", "class", "quick", "id", "00000000000000ff", "wait", "2900")
-	for c := e.hears("serve"); ; c = e.hears("serve") {
+	other.sendJob(1, "select 1", "class", "quick", "id", "00000000000000ff", "wait", "2900")
+	for c := e.expectCommand("serve"); ; c = e.expectCommand("serve") {
 		c.answer("HIT", "count=1", rowA)
 		if c.words[1] == "00000000000000ff" {
 			break
 		}
 	}
-	other.gets(frame.Answer, 1, frame.Done, rowA)
+	other.expectFrame(frame.Answer, 1, frame.Done, rowA)
 }
 
-// TestQuietClients: connections that say nothing or half a frame end, and at the limit the one quiet for longest
-// makes room for a newcomer.
+// TestQuietClients: connections that send nothing or only half a frame are closed. At the limit, the connection that was
+// quiet for longest is closed for a new one.
 func TestQuietClients(t *testing.T) {
-	b := start(t, "")
-	b.client()
-	dial := func() conn {
+	b := startController(t, "")
+	b.connect()
+	dial := func() testClient {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		_ = c.SetDeadline(time.Now().Add(patience))
-		return conn{c, t}
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
+		return testClient{c, t}
 	}
 	silent, half := dial(), dial()
 	half.write([]byte{0, 0, 1, 0, frame.Job})
-	b.until(func() bool {
-		for _, k := range b.c.clients {
-			if k.half.Load() > 0 {
+	b.waitUntil(func() bool {
+		for _, cl := range b.c.clients {
+			if cl.partialSince.Load() > 0 {
 				return true
 			}
 		}
 		return false
 	})
-	b.until(func() bool { // it is asked to leave, that word leaves, and two looks find nothing
+	b.waitUntil(func() bool { // it is asked to leave, the request is sent, and two checks find nothing
 		b.c.now += admission.Silent + time.Second
 		b.c.admission.Sweep(b.c.now)
-		return b.c.counts[clientsIdle] == 1
+		return b.c.counts[clientsIdleClosed] == 1
 	})
-	silent.gets(frame.NoMore, 0, 0, "")
-	silent.closes()
-	half.gets(frame.Answer, 0, frame.Failed, "")
-	half.closes()
+	silent.expectFrame(frame.NoMore, 0, 0, "")
+	silent.expectClosed()
+	half.expectFrame(frame.Answer, 0, frame.Failed, "")
+	half.expectClosed()
 	first := dial()
 	for range b.c.admission.Most() {
-		b.client()
+		b.connect()
 	}
-	first.gets(frame.NoMore, 0, 0, "")
-	first.closes()
+	first.expectFrame(frame.NoMore, 0, 0, "")
+	first.expectClosed()
 }
 
 func TestMalformedFromEngine(t *testing.T) {
 	for _, answer := range []string{"garbage\r\n", "*1\r\n$1\r\na\r\n"} {
-		e := newStandIn(t, "127.0.0.1:0")
-		k := start(t, "", e).client()
-		k.quick(1, "2900")
-		_, _ = e.hears("serve").conn.Write([]byte(answer))
-		e.hears("serve").answer("HIT", "count=1", rowB)
-		k.gets(frame.Answer, 1, frame.Done, rowB)
+		e := newFakeEngine(t, "127.0.0.1:0")
+		cl := startController(t, "", e).connect()
+		cl.sendQuickJob(1, "2900")
+		_, _ = e.expectCommand("serve").conn.Write([]byte(answer))
+		e.expectCommand("serve").answer("HIT", "count=1", rowB)
+		cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 	}
 }
 
-// TestNotes: where the settings say that engines tell how far a job is, such a word ends nothing; elsewhere it makes no
-// sense, and the job goes on on another connection.
+// TestNotes: where the settings say that engines report progress, a progress report finishes nothing; elsewhere it is an
+// unknown answer, and the job is sent again on another connection.
 func TestNotes(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	k := startWith(t, "", func(cfg *config.Config) { cfg.Settings.Notes = true }, e).client()
-	k.quick(1, "2900")
-	c := e.hears("serve")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	cl := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Notes = true }, e).connect()
+	cl.sendQuickJob(1, "2900")
+	c := e.expectCommand("serve")
 	c.answer("FAR", "done=0.25", "")
 	c.answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowB)
-	k = start(t, "", e).client()
-	k.quick(1, "2900")
-	e.hears("serve").answer("FAR", "done=0.25", "")
-	e.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
+	cl = startController(t, "", e).connect()
+	cl.sendQuickJob(1, "2900")
+	e.expectCommand("serve").answer("FAR", "done=0.25", "")
+	e.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 }
 
 func TestPanic(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "2000")
-	e.hears("serve")
-	b.c.do(func() { panic("for the test") })
-	k.gets(frame.Answer, 1, frame.Failed, "")
-	e.hears("cancel")
-	k.quick(2, "2000")
-	e.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 2, frame.Done, rowB)
-}
-
-// TestUnreachable: a refused connection proves that nothing ran, and the job goes elsewhere.
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2000")
+	e.expectCommand("serve")
+	b.c.withLock(func() { panic("for the test") })
+	cl.expectFrame(frame.Answer, 1, frame.Failed, "")
+	e.expectCommand("cancel")
+	cl.sendQuickJob(2, "2000")
+	e.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
+}
+
+// TestUnreachable: a refused connection proves that nothing ran, and the job goes to another engine.
 func TestUnreachable(t *testing.T) {
-	a, b := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	k := start(t, "", a, b).client()
+	a, b := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	cl := startController(t, "", a, b).connect()
 	a.ln.Close()
 	for stream := uint32(1); stream <= 4; stream++ {
-		k.asks(stream, "", "class", "load", "id", fmt.Sprintf("%016x", stream), "wait", "2900", "once", "k")
-		b.hears("serve").answer("HIT", "count=1", rowB)
-		k.gets(frame.Answer, stream, frame.Done, rowB)
+		cl.sendJob(stream, "", "class", "load", "id", fmt.Sprintf("%016x", stream), "wait", "2900", "once", "k")
+		b.expectCommand("serve").answer("HIT", "count=1", rowB)
+		cl.expectFrame(frame.Answer, stream, frame.Done, rowB)
 	}
 }
 
-// TestWithdrawn: on a connection that takes in nothing, what was not written is taken back and never arrives.
+// TestWithdrawn: on a connection whose peer reads nothing, an unwritten message can be withdrawn and never arrives.
 func TestWithdrawn(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), patience)
+	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &link{c: &Controller{}, conn: conn, wake: make(chan struct{}, 1)} // no writer runs
-	first, second := l.add([]byte("first ")), l.add([]byte("sec"), []byte("ond "))
-	third := l.add([]byte("third"))
-	if !l.withdraw(second) || l.withdraw(second) || l.wrote(first) || l.backlog() != len("first third")+2*messageOverhead {
-		t.Error("not withdrawn", l.backlog())
+	first, second := l.enqueue([]byte("first ")), l.enqueue([]byte("sec"), []byte("ond "))
+	third := l.enqueue([]byte("third"))
+	if !l.withdraw(second) || l.withdraw(second) || l.mayHaveSent(first) || l.backlog() != len("first third")+2*messageOverhead {
+		t.Error("message was not withdrawn", l.backlog())
 	}
-	if size, _, _, _ := l.hand(); size != len("first third")+2*messageOverhead || !l.wrote(third) || l.withdraw(third) {
-		t.Error("withdrawn too late", size)
+	if size, _, _, _ := l.handOver(); size != len("first third")+2*messageOverhead || !l.mayHaveSent(third) || l.withdraw(third) {
+		t.Error("handed-over messages: wrong size or state", size)
 	}
 	_ = conn.Writer().Flush()
 	conn.Close()
--- a/controller/counters.go
+++ b/controller/counters.go
@@ -7,29 +7,29 @@
 	"yarrowbarrow/logic"
 )
 
-// counter numbers what is counted; README.md has the meaning of each.
+// counter is the index of a counter; README.md explains each.
 type counter int
 
 const (
 	clientsAccepted counter = iota
 	clientsRefused
 	clientsEvicted
-	clientsAsked
-	clientsMisread
+	clientsAskedToLeave
+	clientsMalformed
 	clientsTooSlow
-	clientsIdle
-	jobsTaken
-	jobsMisread
+	clientsIdleClosed
+	jobsReceived
+	jobsMalformed
 	jobsOverLimit
-	clientGone
-	done
-	rejected
+	jobsClientGone
+	jobsDone
+	jobsRejected
 	jobsFailed
-	cutByExit
+	jobsCutByExit
 	answersLate
-	alarmsLate
-	attempted
-	outcomeDone // eight in the order of logic.Outcome
+	timersLate
+	attemptsDecided
+	outcomeDone // the first of eight, in the order of logic.Outcome
 	outcomeErrored
 	outcomeTurnedAway
 	outcomeTimedOut
@@ -37,17 +37,17 @@
 	outcomeConnectionLost
 	outcomeRecalled
 	outcomeNotSent
-	cancels
-	fences
-	withdrawn
-	unfit
+	cancelsSent
+	fencesSent
+	attemptsWithdrawn
+	attemptsUnfit
 	pagesRead
 	faultyAnswers
 	strayAnswers
-	notesUnread
-	enginesMisread
+	unknownAnswers
+	enginesMalformed
 	enginesTooSlow
-	dials
+	dialsStarted
 	dialsFailed
 	linksLost
 	linksOverLimit
@@ -56,22 +56,23 @@
 	discoveryEvents
 	discoveryGaps
 	discoveryFailures
-	discoverySilent
+	discoveryTimeouts
 	reloads
 	reloadsFailed
-	peerUnsaid
-	panicked
+	peerMessagesDropped
+	panicsCaught
 	refusedByRoute
 	movedByRoute
-	standstills
+	stallsNoticed
 	acceptsFailed
-	writesAgain
-	dialsAgain
+	writesRetried
+	dialsRetried
 	enginesOverLimit
-	counters
+	counterCount
 )
 
-var counterNames = [counters]string{"clients_accepted", "clients_refused", "clients_evicted", "clients_asked", "clients_misread",
+// counterNames are the names in the log, in the order of the constants.
+var counterNames = [counterCount]string{"clients_accepted", "clients_refused", "clients_evicted", "clients_asked", "clients_misread",
 	"clients_too_slow", "clients_idle", "jobs_taken", "jobs_misread", "jobs_over_limit", "client_gone", "done",
 	"rejected", "failed", "cut_by_exit", "answers_late", "alarms_late", "attempts", "outcome_done", "outcome_errored",
 	"outcome_turned_away", "outcome_timed_out", "outcome_no_connection", "outcome_connection_lost",
@@ -80,17 +81,18 @@
 	"probes_sent", "discovery_calls", "discovery_events", "discovery_gaps", "discovery_failures", "discovery_silent", "reloads", "reloads_failed", "peer_unsaid", "panics",
 	"refused_by_route", "moved_by_route", "standstills", "accepts_failed", "writes_again", "dials_again", "engines_over_limit"}
 
-func outcomeCounter(o logic.Outcome) counter { return outcomeDone + counter(o) }
+// outcomeCounter returns the counter of an outcome.
+func outcomeCounter(outcome logic.Outcome) counter { return outcomeDone + counter(outcome) }
 
-// LogCounters logs all counters, and what is open now.
+// LogCounters logs all counters and what is currently open.
 func (c *Controller) LogCounters() {
-	c.do(c.logCounters)
+	c.withLock(c.logCounters)
 	c.logUsage()
 }
 
 func (c *Controller) logCounters() {
-	c.logged = c.now
-	values := make([]any, 0, 2*counters+12)
+	c.countersLoggedAt = c.now
+	values := make([]any, 0, 2*counterCount+12)
 	for n, name := range counterNames {
 		if c.counts[n] > 0 {
 			values = append(values, name, c.counts[n])
@@ -101,11 +103,11 @@
 			values = append(values, "violations_"+invariant.Violation(v).String(), n)
 		}
 	}
-	if c.longest > 0 {
-		values = append(values, "longest_standstill", c.longest)
+	if c.longestStall > 0 {
+		values = append(values, "longest_standstill", c.longestStall)
 	}
-	values = append(values, "open_jobs", len(c.jobs), "open_clients", len(c.clients), "open_links", c.links,
-		"held_bytes", c.bytes, "engines", len(c.engines), "alarms", len(c.timers))
-	c.note(slog.LevelInfo, "counters", values...)
+	values = append(values, "open_jobs", len(c.jobs), "open_clients", len(c.clients), "open_links", c.linkCount,
+		"held_bytes", c.jobBytes, "engines", len(c.engines), "alarms", len(c.timers))
+	c.logEvent(slog.LevelInfo, "counters", values...)
 	c.logRoutes()
 }
--- a/controller/crossing_attempt_test.go
+++ b/controller/crossing_attempt_test.go
@@ -18,177 +18,178 @@
 	"yarrowbarrow/logic"
 )
 
-// Two events that cross, with the order forced: a connection is held until the other event has been taken in, or both
-// happen under one lock. docs/design/crossings.md lists the pairs.
+// These tests force the order of two concurrent events: a connection is held until the other event has been handled, or
+// both happen under one hold of the lock. docs/design/crossings.md lists the pairs.
 
-// gate holds the dials of a controller: each is told in came, and goes on once it gets a word from pass.
-type gate struct {
-	came chan netip.AddrPort
-	pass chan struct{}
+// dialGate blocks the dials of a controller: each is announced on started and continues after a value from release.
+type dialGate struct {
+	started chan netip.AddrPort
+	release chan struct{}
 }
 
-func (b *bed) holdDials() gate {
-	g := gate{make(chan netip.AddrPort, 100), make(chan struct{}, 100)}
-	b.t.Cleanup(func() { close(g.pass) })
-	b.c.do(func() {
-		b.c.system.connect = func(_ context.Context, address netip.AddrPort) (netpoll.Connection, error) {
-			g.came <- address
-			<-g.pass
-			return dialTCP(context.Background(), address) // up, however long it took
+func (b *testbed) holdDials() dialGate {
+	g := dialGate{make(chan netip.AddrPort, 100), make(chan struct{}, 100)}
+	b.t.Cleanup(func() { close(g.release) })
+	b.c.withLock(func() {
+		b.c.sys.connect = func(_ context.Context, address netip.AddrPort) (netpoll.Connection, error) {
+			g.started <- address
+			<-g.release
+			return dialTCP(context.Background(), address) // it opens, however long it took
 		}
 	})
 	return g
 }
 
-func (g gate) waits(t *testing.T) {
+func (g dialGate) awaitDial(t *testing.T) {
 	t.Helper()
 	select {
-	case <-g.came:
-	case <-time.After(patience):
+	case <-g.started:
+	case <-time.After(testTimeout):
 		t.Fatal("no dial")
 	}
 }
 
-// onlyHears sends one more job and wants it to be the first that the engine is told to serve.
-func (b *bed) onlyHears(e *standIn, k conn, stream uint32) {
+// expectOnlyJob sends one more job and requires that it is the first that the engine is told to serve.
+func (b *testbed) expectOnlyJob(e *fakeEngine, cl testClient, stream uint32) {
 	b.t.Helper()
-	k.quick(stream, "2900")
-	c := e.hears("serve")
+	cl.sendQuickJob(stream, "2900")
+	c := e.expectCommand("serve")
 	if id := c.words[1]; !strings.HasSuffix(id, string("0123456789abcdef"[stream])) {
-		b.t.Error("sent on: ", id)
+		b.t.Error("unexpected job sent: ", id)
 	}
 	c.answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, stream, frame.Done, rowB)
+	cl.expectFrame(frame.Answer, stream, frame.Done, rowB)
 }
 
-// TestGoneWhileDialing: a job whose client has left, or was told that its bytes make no sense, is not sent once its
-// connection comes up, also where the module may not recall.
+// TestGoneWhileDialing: the client of a job leaves, or is told that its input is malformed, while the job waits for a
+// connection. The job is not sent when the connection opens, even where the module may not recall jobs.
 func TestGoneWhileDialing(t *testing.T) {
-	for name, leave := range map[string]func(k conn){
-		"cancels":        func(k conn) { k.write(frame.AppendHead(nil, frame.Gone, 1, 0)) },
-		"closes":         func(k conn) { k.Close() },
-		"resets":         func(k conn) { _ = k.Conn.(*net.TCPConn).SetLinger(0); k.Close() },
-		"half-closes":    func(k conn) { _ = k.Conn.(*net.TCPConn).CloseWrite() },
-		"makes no sense": func(k conn) { k.write([]byte{0x7f, 0, 0, 0}) },
+	for name, leave := range map[string]func(cl testClient){
+		"cancels":     func(cl testClient) { cl.write(frame.AppendHead(nil, frame.Gone, 1, 0)) },
+		"closes":      func(cl testClient) { cl.Close() },
+		"resets":      func(cl testClient) { _ = cl.Conn.(*net.TCPConn).SetLinger(0); cl.Close() },
+		"half-closes": func(cl testClient) { _ = cl.Conn.(*net.TCPConn).CloseWrite() },
+		"malformed":   func(cl testClient) { cl.write([]byte{0x7f, 0, 0, 0}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newStandIn(t, "127.0.0.1:0")
-			b := start(t, `,"may_cancel":false`, e)
-			k, other := b.client(), b.client()
+			e := newFakeEngine(t, "127.0.0.1:0")
+			b := startController(t, `,"may_cancel":false`, e)
+			cl, other := b.connect(), b.connect()
 			g := b.holdDials()
-			k.quick(1, "2900")
-			g.waits(t)
-			leave(k)
-			b.until(func() bool { return b.c.counts[clientGone]+b.c.counts[clientsMisread] == 1 })
-			g.pass <- struct{}{}
-			b.until(func() bool { return len(b.c.engines["e0"].links) == 1 })
-			b.onlyHears(e, other, 2)
+			cl.sendQuickJob(1, "2900")
+			g.awaitDial(t)
+			leave(cl)
+			b.waitUntil(func() bool { return b.c.counts[jobsClientGone]+b.c.counts[clientsMalformed] == 1 })
+			g.release <- struct{}{}
+			b.waitUntil(func() bool { return len(b.c.engines["e0"].links) == 1 })
+			b.expectOnlyJob(e, other, 2)
 		})
 	}
 }
 
-// TestGoneWhileQueued: the same for a job whose bytes wait for the writer, which a long tick keeps back.
+// TestGoneWhileQueued: the client of a job leaves while the job is in the output queue, where a long tick keeps it. The
+// job is not sent.
 func TestGoneWhileQueued(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, `,"may_cancel":false`+longTick, e)
-	k, other := b.client(), b.client()
-	b.queued(e, k)
-	k.Close()
-	b.until(func() bool { return len(b.c.jobs) == 0 && b.c.counts[withdrawn] == 1 })
-	b.onlyHears(e, other, 3)
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, `,"may_cancel":false`+longTick, e)
+	cl, other := b.connect(), b.connect()
+	b.queueSecondJob(e, cl)
+	cl.Close()
+	b.waitUntil(func() bool { return len(b.c.jobs) == 0 && b.c.counts[attemptsWithdrawn] == 1 })
+	b.expectOnlyJob(e, other, 3)
 }
 
-// TestOwnReadAfterStandstill: a job that is read right after a standstill is not held back by its own read.
+// TestOwnReadAfterStandstill: a job that is read right after a stall is not held back because of its own read.
 func TestOwnReadAfterStandstill(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, longTick, e)
-	k := b.client()
-	k.quick(1, "2900")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	b.until(func() bool { return b.c.counts[done] == 1 })
-	b.c.do(func() { b.c.stood = standstill{b.c.now + time.Second, time.Second} })
-	k.quick(2, "2900")
-	b.until(func() bool { return len(b.c.jobs) == 1 })
-	b.c.do(func() {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, longTick, e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2900")
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	b.waitUntil(func() bool { return b.c.counts[jobsDone] == 1 })
+	b.c.withLock(func() { b.c.lastStall = stall{b.c.now + time.Second, time.Second} })
+	cl.sendQuickJob(2, "2900")
+	b.waitUntil(func() bool { return len(b.c.jobs) == 1 })
+	b.c.withLock(func() {
 		for _, j := range b.c.jobs {
-			if j.out == nil || j.out.link == nil || j.out.asked != 0 {
-				t.Errorf("held back: %+v", j.out)
+			if j.inFlight == nil || j.inFlight.link == nil || j.inFlight.awaitingInputSince != 0 {
+				t.Errorf("held back: %+v", j.inFlight)
 			}
 		}
 	})
 }
 
-// lateBegins refuses the begin of each attempt that has waited.
-type lateBegins struct {
+// refusingModule refuses every attempt that has waited.
+type refusingModule struct {
 	logic.Module
 	asked int
 }
 
-func (m *lateBegins) Began(time.Duration, logic.JobID) bool {
+func (m *refusingModule) Began(time.Duration, logic.JobID) bool {
 	m.asked++
 	return false
 }
 
-// TestBudgetSpentWhileDialing: an attempt that has waited for a connection is asked about again when it begins, and is not sent where
-// it may not; the next one, which begins as it is decided, is.
+// TestBudgetSpentWhileDialing: the module is asked again about an attempt that has waited for a connection, and the
+// attempt is not sent if the module refuses. The next one, which begins when it is decided, is sent.
 func TestBudgetSpentWhileDialing(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
 	g := b.holdDials()
-	k.quick(1, "2900")
-	g.waits(t)
-	m := &lateBegins{}
-	b.c.do(func() { m.Module, b.c.logic = b.c.logic, m })
-	g.pass <- struct{}{}
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	b.c.do(func() {
+	cl.sendQuickJob(1, "2900")
+	g.awaitDial(t)
+	m := &refusingModule{}
+	b.c.withLock(func() { m.Module, b.c.logic = b.c.logic, m })
+	g.release <- struct{}{}
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	b.c.withLock(func() {
 		if m.asked != 1 || b.c.counts[outcomeNotSent] != 1 {
 			t.Errorf("asked %d times, %d not sent", m.asked, b.c.counts[outcomeNotSent])
 		}
 	})
 }
 
-// TestLeftUnheard: a client has closed its connection, and the process, which stood still, has not heard of it when it
-// comes to send its job.
+// TestLeftUnheard: a client has closed its connection, and the stalled process has not noticed it when it is about to
+// send the client's job.
 func TestLeftUnheard(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k, other := b.client(), b.client()
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl, other := b.connect(), b.connect()
 	g := b.holdDials()
-	k.quick(1, "2900")
-	g.waits(t)
-	b.c.do(func() { // nothing is heard under the lock
+	cl.sendQuickJob(1, "2900")
+	g.awaitDial(t)
+	b.c.withLock(func() { // under the lock no input is handled
 		j := b.c.jobs["0000000000000001"]
 		b.c.now++
-		if !b.c.fit(j.out) {
-			t.Error("not fit with its client there")
+		if !b.c.maySend(j.inFlight) {
+			t.Error("attempt may not be sent although its client is connected")
 		}
 		l := j.client.link
-		k.Close()
-		for late := time.Now().Add(patience); !l.left() && time.Now().Before(late); {
+		cl.Close()
+		for deadline := time.Now().Add(testTimeout); !l.peerClosed() && time.Now().Before(deadline); {
 		}
 		b.c.now++
-		if b.c.fit(j.out) {
-			t.Error("fit without its client")
+		if b.c.maySend(j.inFlight) {
+			t.Error("attempt may be sent although its client has closed")
 		}
 	})
-	b.until(func() bool { return len(b.c.jobs) == 0 })
-	g.pass <- struct{}{}
-	b.until(func() bool { return len(b.c.engines["e0"].links) == 1 })
-	b.onlyHears(e, other, 2)
+	b.waitUntil(func() bool { return len(b.c.jobs) == 0 })
+	g.release <- struct{}{}
+	b.waitUntil(func() bool { return len(b.c.engines["e0"].links) == 1 })
+	b.expectOnlyJob(e, other, 2)
 }
 
-// socket is a connection that no poll reads.
-type socket struct {
+// rawSocketConn is a connection that no poller reads.
+type rawSocketConn struct {
 	netpoll.Connection
 	fd int
 }
 
-func (s socket) Fd() int { return s.fd }
+func (s rawSocketConn) Fd() int { return s.fd }
 
-// TestLeftBehindUnread: a client has closed its connection, or its side of it, behind bytes that nobody has read yet.
+// TestLeftBehindUnread: a client has closed its connection, or its side of it, and unread bytes precede the close.
 func TestLeftBehindUnread(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -210,353 +211,356 @@
 			t.Fatal(err)
 		}
 		defer file.Close()
-		l := &link{conn: socket{fd: int(file.Fd())}}
+		l := &link{conn: rawSocketConn{fd: int(file.Fd())}}
 		if _, err := near.Write([]byte("unread")); err != nil {
 			t.Fatal(err)
 		}
-		if l.left() {
-			t.Errorf("%s: left before it has", what)
+		if l.peerClosed() {
+			t.Errorf("%s: reported as closed before it was", what)
 		}
 		if err := leave(near.(*net.TCPConn)); err != nil {
 			t.Fatal(err)
 		}
-		for late := time.Now().Add(patience); !l.left() && time.Now().Before(late); {
+		for deadline := time.Now().Add(testTimeout); !l.peerClosed() && time.Now().Before(deadline); {
 		}
-		if !l.left() {
-			t.Errorf("%s: not seen behind what is unread", what)
+		if !l.peerClosed() {
+			t.Errorf("%s: close after unread bytes not detected", what)
 		}
 	}
 }
 
-// TestCancelUnread: the same for a cancel that lies unread. The attempt waits once, for the reader to come to it.
+// TestCancelUnread: a client has cancelled its job, and the cancel is still unread when the job is about to be sent. The
+// attempt waits once, until the reader has handled the input.
 func TestCancelUnread(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, `,"may_cancel":false`, e)
-	k, other := b.client(), b.client()
-	k.quick(1, "2900")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, `,"may_cancel":false`, e)
+	cl, other := b.connect(), b.connect()
+	cl.sendQuickJob(1, "2900")
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 	g := b.holdDials()
-	b.c.do(func() { b.c.engines["e0"].links[0].stale = true })
-	k.quick(2, "2900")
-	g.waits(t)
-	b.c.do(func() { // nothing is heard under the lock
+	b.c.withLock(func() { b.c.engines["e0"].links[0].retired = true })
+	cl.sendQuickJob(2, "2900")
+	g.awaitDial(t)
+	b.c.withLock(func() { // under the lock no input is handled
 		j := b.c.jobs["0000000000000002"]
 		l := j.client.link
-		k.write(frame.AppendHead(nil, frame.Gone, 2, 0))
-		for late := time.Now().Add(patience); !l.unread() && time.Now().Before(late); {
+		cl.write(frame.AppendHead(nil, frame.Gone, 2, 0))
+		for deadline := time.Now().Add(testTimeout); !l.hasUnread() && time.Now().Before(deadline); {
 		}
-		b.c.engines["e0"].links[0].stale = false // a connection is there at last
+		b.c.engines["e0"].links[0].retired = false // now a connection is available
 		b.c.now++
-		b.c.place(j.out.engine)
-		if j.out.link != nil {
-			t.Error("sent on before the client was heard")
+		b.c.placeWaiting(j.inFlight.engine)
+		if j.inFlight.link != nil {
+			t.Error("sent before the client's input was read")
 		}
 	})
-	b.until(func() bool { return len(b.c.jobs) == 0 })
-	g.pass <- struct{}{}
-	b.onlyHears(e, other, 3)
+	b.waitUntil(func() bool { return len(b.c.jobs) == 0 })
+	g.release <- struct{}{}
+	b.expectOnlyJob(e, other, 3)
 }
 
-// TestWindowPassesWhileDialing: a keyed job that may have run, and whose connection comes up only when the window of its key
-// has passed, is answered as it passes and not sent.
+// TestWindowPassesWhileDialing: a keyed job may have run, and the connection for its next attempt opens only after the
+// window of its key has passed. The job is answered when the window passes, and not sent.
 func TestWindowPassesWhileDialing(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := startWith(t, "", func(cfg *config.Config) {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startWithConfig(t, "", func(cfg *config.Config) {
 		cfg.Settings.Logic.Classes[1].Window = 300 * time.Millisecond
-		cfg.Settings.Logic.Classes[1].Deadline = time.Hour // far behind patience: the window alone has it answered
+		cfg.Settings.Logic.Classes[1].Deadline = time.Hour // far beyond testTimeout: only the window ends the job
 	}, e)
-	k := b.client()
-	k.asks(1, "load 1", "class", "load", "id", "0000000000000001", "wait", "3600000", "once", "k")
-	c := e.hears("serve")
+	cl := b.connect()
+	cl.sendJob(1, "load 1", "class", "load", "id", "0000000000000001", "wait", "3600000", "once", "k")
+	c := e.expectCommand("serve")
 	g := b.holdDials()
 	_ = c.conn.(*net.TCPConn).SetLinger(0)
 	c.conn.Close()
-	g.waits(t)
-	k.gets(frame.Answer, 1, frame.Rejected, "")
-	b.c.do(func() {
-		if b.c.counts[attempted] != 2 || b.c.counts[outcomeNotSent] != 1 {
-			t.Error(b.c.counts[attempted], "attempts,", b.c.counts[outcomeNotSent], "not sent")
+	g.awaitDial(t)
+	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
+	b.c.withLock(func() {
+		if b.c.counts[attemptsDecided] != 2 || b.c.counts[outcomeNotSent] != 1 {
+			t.Error(b.c.counts[attemptsDecided], "attempts,", b.c.counts[outcomeNotSent], "not sent")
 		}
 	})
-	g.pass <- struct{}{}
-	b.until(func() bool { return len(b.c.engines["e0"].links) == 1 })
-	b.onlyHears(e, k, 2)
+	g.release <- struct{}{}
+	b.waitUntil(func() bool { return len(b.c.engines["e0"].links) == 1 })
+	b.expectOnlyJob(e, cl, 2)
 }
 
-// TestLastMoment: a message whose time has passed stays where it can be taken back, however late the writer comes to it.
+// TestLastMoment: a message whose time has passed stays in the queue, where it can be withdrawn, however late the writer
+// runs.
 func TestLastMoment(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), patience)
+	conn, err := netpoll.DialConnection("tcp", ln.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	c := &Controller{born: time.Now()}
+	c := &Controller{startTime: time.Now()}
 	l := &link{c: c, conn: conn, wake: make(chan struct{}, 1)} // no writer runs
-	late, soon := l.addUntil(c.clock(), nil, []byte("late")), l.addUntil(c.clock()+time.Hour, nil, []byte("soon"))
-	if size, _, _, _ := l.hand(); size != len("soon")+messageOverhead || l.backlog() != len("latesoon")+2*messageOverhead {
+	late, soon := l.enqueueUntil(c.clock(), nil, []byte("late")), l.enqueueUntil(c.clock()+time.Hour, nil, []byte("soon"))
+	if size, _, _, _ := l.handOver(); size != len("soon")+messageOverhead || l.backlog() != len("latesoon")+2*messageOverhead {
 		t.Error("handed over: ", size)
 	}
 	if !l.withdraw(late) || l.withdraw(soon) || l.backlog() != len("soon")+messageOverhead {
 		t.Error("not taken back")
 	}
-	again := l.addUntil(c.clock(), nil, []byte("late"))
-	l.hand()
-	l.closed()
-	if !l.withdraw(again) || c.held.Load() != 0 {
-		t.Error("not known as unsent after the end: ", c.held.Load())
+	again := l.enqueueUntil(c.clock(), nil, []byte("late"))
+	l.handOver()
+	l.markClosed()
+	if !l.withdraw(again) || c.connBytes.Load() != 0 {
+		t.Error("not known as unsent after the close: ", c.connBytes.Load())
 	}
 }
 
-// TestOmittedTakesBack: an engine that a whole list does not name any more is gone, and what has not left for it goes
-// elsewhere, as with one that is named as gone.
+// TestOmittedTakesBack: an engine that a whole list no longer contains is gone, and its unsent attempts go to another
+// engine, as with an engine that is listed as gone.
 func TestOmittedTakesBack(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
 	g := b.holdDials()
-	k.quick(1, "2900")
-	g.waits(t)
-	b.list.tell(true, [3]string{"e1", f.ln.Addr().String(), "active"})
-	b.knows("e1")
-	g.waits(t) // the dial to the new one
-	g.pass <- struct{}{}
-	g.pass <- struct{}{}
-	f.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowB)
-	b.until(func() bool { return b.c.engines["e0"] == nil || len(b.c.engines["e0"].dials) == 0 })
+	cl.sendQuickJob(1, "2900")
+	g.awaitDial(t)
+	b.discovery.publish(true, [3]string{"e1", f.ln.Addr().String(), "active"})
+	b.waitForEngine("e1")
+	g.awaitDial(t) // the dial to the new engine
+	g.release <- struct{}{}
+	g.release <- struct{}{}
+	f.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
+	b.waitUntil(func() bool { return b.c.engines["e0"] == nil || len(b.c.engines["e0"].dials) == 0 })
 	select {
-	case c := <-e.said:
-		t.Error("after the list: ", c.words)
+	case c := <-e.received:
+		t.Error("sent to the removed engine: ", c.words)
 	default:
 	}
 }
 
-// TestReplacedTakesBack: what waits in the writer of a connection to a process that another one has replaced goes to the new
-// one.
+// TestReplacedTakesBack: an engine's process is replaced by another one while an attempt is in the output queue of a
+// connection to the old one. The attempt goes to the new process.
 func TestReplacedTakesBack(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := start(t, longTick, e)
-	k := b.client()
-	b.queued(e, k)
-	b.list.tell(false, [3]string{"e0", f.ln.Addr().String(), "active"})
-	b.goesElsewhere(e, f, k)
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, longTick, e)
+	cl := b.connect()
+	b.queueSecondJob(e, cl)
+	b.discovery.publish(false, [3]string{"e0", f.ln.Addr().String(), "active"})
+	b.expectRerouted(e, f, cl)
 }
 
-// TestTurnedAwayAfterBegun: an answer that it never ran, behind one that it did, proves nothing: a non-idempotent job does
-// not go again.
+// TestTurnedAwayAfterBegun: an answer that says a job never ran, after one that says it did, proves nothing: a
+// non-idempotent job is not sent again.
 func TestTurnedAwayAfterBegun(t *testing.T) {
 	for _, word := range []string{"SHED", "LATE"} {
-		e := newStandIn(t, "127.0.0.1:0")
-		b := startWith(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Classes[0].Repeat = logic.NonIdempotent }, e)
-		k := b.client()
-		k.quick(1, "2900")
-		c := e.hears("serve")
+		e := newFakeEngine(t, "127.0.0.1:0")
+		b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Classes[0].Repeat = logic.NonIdempotent }, e)
+		cl := b.connect()
+		cl.sendQuickJob(1, "2900")
+		c := e.expectCommand("serve")
 		c.answer("HIT", "count=2", rowA)
 		c.answer(word, "-", "")
-		k.gets(frame.Answer, 1, frame.Failed, "")
-		b.c.do(func() {
-			if b.c.counts[attempted] != 1 {
-				t.Error(word, b.c.counts[attempted], "attempts")
+		cl.expectFrame(frame.Answer, 1, frame.Failed, "")
+		b.c.withLock(func() {
+			if b.c.counts[attemptsDecided] != 1 {
+				t.Error(word, b.c.counts[attemptsDecided], "attempts")
 			}
 		})
 	}
 }
 
-// TestDescriptorsTaken: all descriptors for engines are taken by a connection to one that drains, as a job has to go to
-// another. While the connection carries a job the next one waits; once it is idle it makes room, and the job is sent.
+// TestDescriptorsTaken: a connection to a draining engine has the only descriptor for engines, and a job has to go to
+// another engine. While the connection carries a job the next one waits; once it is idle it is closed, and the job is
+// sent.
 func TestDescriptorsTaken(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := startWith(t, "", func(cfg *config.Config) { cfg.Sockets = 50 }, e)
-	if most := b.c.mostLinks(); most != 1 {
-		t.Fatal("room for ", most)
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Sockets = 50 }, e)
+	if most := b.c.maxLinks(); most != 1 {
+		t.Fatal("maxLinks is not 1: ", most)
 	}
-	k := b.client()
-	k.quick(1, "2900")
-	first := e.hears("serve")
-	b.list.tell(true, [3]string{"e0", e.ln.Addr().String(), "leaving"}, [3]string{"e1", f.ln.Addr().String(), "active"})
-	b.knows("e1")
-	k.quick(2, "2900")
-	b.until(func() bool { return b.c.counts[linksOverLimit] == 1 })
-	b.c.do(func() {
-		if b.c.links != 1 || len(b.c.jobs) != 2 || b.c.counts[rejected] > 0 {
-			t.Error(b.c.links, "connections,", len(b.c.jobs), "jobs open")
+	cl := b.connect()
+	cl.sendQuickJob(1, "2900")
+	first := e.expectCommand("serve")
+	b.discovery.publish(true, [3]string{"e0", e.ln.Addr().String(), "leaving"}, [3]string{"e1", f.ln.Addr().String(), "active"})
+	b.waitForEngine("e1")
+	cl.sendQuickJob(2, "2900")
+	b.waitUntil(func() bool { return b.c.counts[linksOverLimit] == 1 })
+	b.c.withLock(func() {
+		if b.c.linkCount != 1 || len(b.c.jobs) != 2 || b.c.counts[jobsRejected] > 0 {
+			t.Error(b.c.linkCount, "connections,", len(b.c.jobs), "jobs open")
 		}
 	})
 	first.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	f.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 2, frame.Done, rowB)
-	b.c.do(func() {
-		if b.c.links != 1 || len(b.c.short) > 0 || b.c.making != 0 || b.c.counts[attempted] != 2 {
-			t.Error(b.c.links, "connections,", len(b.c.short), "wait,", b.c.making, "closing,", b.c.counts[attempted], "attempts")
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	f.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
+	b.c.withLock(func() {
+		if b.c.linkCount != 1 || len(b.c.descriptorQueue) > 0 || b.c.closingForRoom != 0 || b.c.counts[attemptsDecided] != 2 {
+			t.Error(b.c.linkCount, "connections,", len(b.c.descriptorQueue), "wait,", b.c.closingForRoom, "closing,", b.c.counts[attemptsDecided], "attempts")
 		}
 	})
 }
 
-// TestDescriptorsRefused: the system refuses a descriptor, though few connections are counted: an idle connection makes room,
-// and with none idle the attempt is known as not sent.
+// TestDescriptorsRefused: the system refuses a descriptor although few connections are counted. An idle connection is
+// closed for it; with none idle, the attempt is reported as not sent.
 func TestDescriptorsRefused(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "2900")
-	e.hears("serve").answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	var refused atomic.Int32 // dials that are; discovery dials too, on goroutines of its own
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2900")
+	e.expectCommand("serve").answer("HIT", "count=1", rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	var refused atomic.Int32 // dials to refuse; discovery dials too, on goroutines of its own
 	refused.Store(1)
-	b.c.do(func() {
-		b.c.system.connect = func(_ context.Context, address netip.AddrPort) (netpoll.Connection, error) {
+	b.c.withLock(func() {
+		b.c.sys.connect = func(_ context.Context, address netip.AddrPort) (netpoll.Connection, error) {
 			if refused.Add(-1) >= 0 {
 				return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 			}
 			return dialTCP(context.Background(), address)
 		}
 	})
-	b.list.tell(true, [3]string{"e0", e.ln.Addr().String(), "leaving"}, [3]string{"e1", f.ln.Addr().String(), "active"})
-	b.knows("e1")
-	k.quick(2, "2900")
-	f.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 2, frame.Done, rowB)
-	b.c.do(func() {
-		if b.c.counts[attempted] != 2 || len(b.c.engines["e0"].links) != 0 {
-			t.Error(b.c.counts[attempted], "attempts,", len(b.c.engines["e0"].links), "idle connections")
+	b.discovery.publish(true, [3]string{"e0", e.ln.Addr().String(), "leaving"}, [3]string{"e1", f.ln.Addr().String(), "active"})
+	b.waitForEngine("e1")
+	cl.sendQuickJob(2, "2900")
+	f.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
+	b.c.withLock(func() {
+		if b.c.counts[attemptsDecided] != 2 || len(b.c.engines["e0"].links) != 0 {
+			t.Error(b.c.counts[attemptsDecided], "attempts,", len(b.c.engines["e0"].links), "idle connections")
 		}
 	})
-	b.list.tell(true, [3]string{"e1", f.ln.Addr().String(), "leaving"}, [3]string{"e2", e.ln.Addr().String(), "active"})
-	b.knows("e2")
-	b.c.do(func() {
+	b.discovery.publish(true, [3]string{"e1", f.ln.Addr().String(), "leaving"}, [3]string{"e2", e.ln.Addr().String(), "active"})
+	b.waitForEngine("e2")
+	b.c.withLock(func() {
 		for _, l := range b.c.engines["e1"].links { // not idle any more
-			l.open["another"] = &attempt{}
+			l.attempts["another"] = &attempt{}
 		}
 		refused.Store(3)
 	})
-	k.quick(3, "2900")
-	k.gets(frame.Answer, 3, frame.Rejected, "")
-	b.c.do(func() { clear(b.c.engines["e1"].links[0].open) })
+	cl.sendQuickJob(3, "2900")
+	cl.expectFrame(frame.Answer, 3, frame.Rejected, "")
+	b.c.withLock(func() { clear(b.c.engines["e1"].links[0].attempts) })
 }
 
-// TestOrderByKey: jobs of one key go to engines one at a time, in the order in which they came, also when they are read in one
-// piece; the next one goes as soon as the one before is answered, and after a connection that was lost under it only when the
-// key has rested. Jobs without a key, or of another one, pass.
+// TestOrderByKey: jobs with the same key go to engines one at a time, in order of arrival, even when they are read at
+// once. The next one is sent as soon as the previous one is answered, and after a lost connection only once the key has
+// been quiet. Jobs without a key, or with another one, are not held up.
 func TestOrderByKey(t *testing.T) {
 	const rest = 300 * time.Millisecond
-	e := newStandIn(t, "127.0.0.1:0")
-	b := startWith(t, "", func(cfg *config.Config) {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startWithConfig(t, "", func(cfg *config.Config) {
 		cfg.Settings.Logic.Classes[1].Ordered, cfg.Settings.Logic.KeyQuiet = true, rest
 		cfg.Settings.Logic.Classes[1].Repeat = logic.NonIdempotent
 	}, e)
-	k := b.client()
-	job := func(stream uint32, key string) []byte {
+	cl := b.connect()
+	frameOf := func(stream uint32, key string) []byte {
 		return jobFrame(stream, "load 1", "class", "load", "id", fmt.Sprintf("%016x", stream), "wait", "2900", "key", key, "tenant", "t")
 	}
-	k.write(job(1, "a"), job(2, "a"), job(3, "b"), job(4, "a"))
-	serves := func(stream uint32) command {
+	cl.write(frameOf(1, "a"), frameOf(2, "a"), frameOf(3, "b"), frameOf(4, "a"))
+	expectJob := func(stream uint32) command {
 		t.Helper()
-		c := e.hears("serve")
+		c := e.expectCommand("serve")
 		if c.words[1] != fmt.Sprintf("%016x", stream) {
-			t.Fatal("sent on: ", c.words[1], ", wanted ", stream)
+			t.Fatal("unexpected job sent: ", c.words[1], ", wanted ", stream)
 		}
 		return c
 	}
-	first, other := e.hears("serve"), e.hears("serve") // on connections of their own, so in no order
+	first, other := e.expectCommand("serve"), e.expectCommand("serve") // on different connections, so in any order
 	if strings.HasSuffix(first.words[1], "3") {
 		first, other = other, first
 	}
 	if !strings.HasSuffix(first.words[1], "1") || !strings.HasSuffix(other.words[1], "3") {
-		t.Fatal("sent on: ", first.words[1], other.words[1])
+		t.Fatal("unexpected job sent: ", first.words[1], other.words[1])
 	}
 	first.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
-	second := serves(2)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
+	second := expectJob(2)
 	other.answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 3, frame.Done, rowB)
-	lost := time.Now()
+	cl.expectFrame(frame.Answer, 3, frame.Done, rowB)
+	lostAt := time.Now()
 	second.conn.Close()
-	k.gets(frame.Answer, 2, frame.Failed, "")
-	last := serves(4)
-	if after := time.Since(lost); after < rest {
-		t.Error("the key rested for ", after)
+	cl.expectFrame(frame.Answer, 2, frame.Failed, "")
+	last := expectJob(4)
+	if after := time.Since(lostAt); after < rest {
+		t.Error("next job of the key sent after only ", after)
 	}
 	last.answer("HIT", "count=1", rowA)
-	k.gets(frame.Answer, 4, frame.Done, rowA)
+	cl.expectFrame(frame.Answer, 4, frame.Done, rowA)
 }
 
-// told is a module that keeps what it was told of jobs.
-type told struct {
+// recordingModule records what it is told about jobs.
+type recordingModule struct {
 	logic.Module
 	jobs chan [3]any
 }
 
-func (m told) JobTaken(now time.Duration, id logic.JobID, name logic.ClassName, customer logic.CustomerID, key logic.Key,
+func (m recordingModule) JobTaken(now time.Duration, id logic.JobID, name logic.ClassName, customer logic.CustomerID, key logic.Key,
 	expires, cost time.Duration, memory float64, tables logic.Tables, repeat bool, place logic.Placement) {
 	m.jobs <- [3]any{customer, key, repeat}
 	m.Module.JobTaken(now, id, name, customer, key, expires, cost, memory, tables, repeat, place)
 }
 
-// TestToldOfJob: what a client tells of its job's tenant, key and repeat reaches the decisions; names that are too long are
-// refused with an answer.
+// TestToldOfJob: the tenant, key and repeat flag of a job reach the module; names that are too long are answered with an
+// error.
 func TestToldOfJob(t *testing.T) {
 	jobs := make(chan [3]any, 10)
-	e := newStandIn(t, "127.0.0.1:0")
-	b := startWith(t, "", nil, e)
-	k := b.client()
-	b.c.do(func() { b.c.logic = told{b.c.logic, jobs} })
-	k.asks(1, "select 1", "class", "quick", "id", "0000000000000001", "wait", "2900", "tenant", "north", "key", "k 1", "retry", "1")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startWithConfig(t, "", nil, e)
+	cl := b.connect()
+	b.c.withLock(func() { b.c.logic = recordingModule{b.c.logic, jobs} })
+	cl.sendJob(1, "select 1", "class", "quick", "id", "0000000000000001", "wait", "2900", "tenant", "north", "key", "k 1", "retry", "1")
 	if got, want := <-jobs, [3]any{logic.CustomerID("north"), logic.Key("k 1"), true}; got != want {
 		t.Error(got, "wanted", want)
 	}
-	k.quick(2, "2900")
+	cl.sendQuickJob(2, "2900")
 	if got, want := <-jobs, [3]any{logic.CustomerID(""), logic.Key(""), false}; got != want {
 		t.Error(got, "wanted", want)
 	}
 	for n, field := range []string{"tenant", "key"} {
 		stream := uint32(3 + n)
-		k.asks(stream, "select 1", "class", "quick", "id", fmt.Sprintf("%016x", stream), "wait", "2900", field, strings.Repeat("x", mostName+1))
-		if said := k.gets(frame.Answer, stream, frame.Failed, ""); said["error"] != field+": too long" {
+		cl.sendJob(stream, "select 1", "class", "quick", "id", fmt.Sprintf("%016x", stream), "wait", "2900", field, strings.Repeat("x", maxNameBytes+1))
+		if said := cl.expectFrame(frame.Answer, stream, frame.Failed, ""); said["error"] != field+": too long" {
 			t.Error(said)
 		}
 	}
 }
 
-// TestFurtherAttemptBeforeClose: an attempt whose connection can't be believed any more is over for its engine once that is closed; the
-// next one waits for that, however long it takes.
+// TestFurtherAttemptBeforeClose: an attempt fails because its connection can't be trusted any more. Its engine learns of
+// that only when the connection is closed, so the next attempt waits for the close, however long it takes.
 func TestFurtherAttemptBeforeClose(t *testing.T) {
-	e, f := newStandIn(t, "127.0.0.1:0"), newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e, f)
-	k := b.client()
-	k.quick(1, "2900")
+	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e, f)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2900")
 	var first command
 	select {
-	case first = <-e.said:
-	case first = <-f.said:
+	case first = <-e.received:
+	case first = <-f.received:
 	}
 	var l *engineLink
-	b.c.do(func() {
-		l = b.c.jobs[logic.JobID(first.words[1])].out.link
-		b.c.lose(l, logic.Errored)
+	b.c.withLock(func() {
+		l = b.c.jobs[logic.JobID(first.words[1])].inFlight.link
+		b.c.failLink(l, logic.Errored)
 	})
-	b.until(func() bool { return b.c.jobs[logic.JobID(first.words[1])].out != nil })
+	b.waitUntil(func() bool { return b.c.jobs[logic.JobID(first.words[1])].inFlight != nil })
 	select {
-	case <-e.said:
-		t.Error("sent while the connection before is open")
-	case <-f.said:
-		t.Error("sent while the connection before is open")
-	case <-time.After(2 * fenceWait):
+	case <-e.received:
+		t.Error("sent while the previous connection is open")
+	case <-f.received:
+		t.Error("sent while the previous connection is open")
+	case <-time.After(2 * fenceTimeout):
 	}
 	_ = l.conn.Close()
 	var next command
 	select {
-	case next = <-e.said:
-	case next = <-f.said:
-	case <-time.After(patience):
+	case next = <-e.received:
+	case next = <-f.received:
+	case <-time.After(testTimeout):
 		t.Fatal("not sent")
 	}
 	next.answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 1, frame.Done, rowB)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 }
--- a/controller/crossing_close_test.go
+++ b/controller/crossing_close_test.go
@@ -12,136 +12,138 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// TestTurnedAway: a newcomer that finds no place, as all those inside have jobs open, is refused with an answer.
+// TestTurnedAway: a new client that finds no room, because all connected clients have open jobs, gets an answer.
 func TestTurnedAway(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := startWith(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Kinds[0].Cores = 64 }, e)
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Kinds[0].Cores = 64 }, e)
 	for n := range b.c.admission.Most() {
-		b.client().asks(1, "select 1", "class", "quick", "id", "00000000000000"+string("0123456789abcdef"[n/16])+string("0123456789abcdef"[n%16]), "wait", "2900")
-		e.hears("serve")
+		b.connect().sendJob(1, "select 1", "class", "quick", "id", "00000000000000"+string("0123456789abcdef"[n/16])+string("0123456789abcdef"[n%16]), "wait", "2900")
+		e.expectCommand("serve")
 	}
 	c, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
-	k := conn{c, t}
-	k.asks(1, "select 1", "class", "quick", "id", "00000000000000ff", "wait", "2900")
-	k.gets(frame.NoMore, 0, 0, "")
-	k.gets(frame.Answer, 1, frame.Rejected, "")
-	k.closes()
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	cl := testClient{c, t}
+	cl.sendJob(1, "select 1", "class", "quick", "id", "00000000000000ff", "wait", "2900")
+	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
+	cl.expectClosed()
 }
 
-// TestSendsIntoClose: bytes that a client sends into the very moment of the close don't reset its connection, and what it
-// was told before is there.
+// TestSendsIntoClose: bytes that a client sends at the moment of the close do not reset its connection, and it receives
+// what was sent to it before.
 func TestSendsIntoClose(t *testing.T) {
-	b := start(t, "")
-	k := b.client()
-	b.c.do(func() {
+	b := startController(t, "")
+	cl := b.connect()
+	b.c.withLock(func() {
 		for _, id := range sorted(b.c.clients) {
-			b.c.clients[id].send(frame.IsReady, 901, 1, "", "")
-			b.c.part(b.c.clients[id], "test")
+			b.c.clients[id].sendFrame(frame.IsReady, 901, 1, "", "")
+			b.c.closeClient(b.c.clients[id], "test")
 		}
 	})
-	b.until(func() bool { return b.c.lingering.Load() == 1 })
-	k.quick(1, "2000") // crosses the close
+	b.waitUntil(func() bool { return b.c.lingeringConns.Load() == 1 })
+	cl.sendQuickJob(1, "2000") // crosses the close
 	for at := range 100 {
-		k.quick(uint32(2+at), "2000")
+		cl.sendQuickJob(uint32(2+at), "2000")
 	}
-	if kind, _, _, _, _ := k.next(); kind != frame.IsReady {
+	if kind, _, _, _, _ := cl.readFrame(); kind != frame.IsReady {
 		t.Error("type", kind)
 	}
-	k.closes()
-	b.c.do(func() {
-		if b.c.counts[jobsTaken] != 0 {
-			t.Error(b.c.counts[jobsTaken], "jobs taken on a connection that is shut")
+	cl.expectClosed()
+	b.c.withLock(func() {
+		if b.c.counts[jobsReceived] != 0 {
+			t.Error(b.c.counts[jobsReceived], "jobs read from a connection that is shut down")
 		}
 	})
-	k.Close()
-	b.until(func() bool { return b.c.lingering.Load() == 0 })
+	cl.Close()
+	b.waitUntil(func() bool { return b.c.lingeringConns.Load() == 0 })
 }
 
-// TestEndsWithClientsAtRest: a process that ends shuts the connections of all clients that rest before it goes, however many.
+// TestEndsWithClientsAtRest: a process that exits shuts down the connections of all idle clients first, however many.
 func TestEndsWithClientsAtRest(t *testing.T) {
-	b := start(t, "")
-	var clients []conn
-	for range 2 * mostLingering(b.c.cfg) {
-		clients = append(clients, b.client())
+	b := startController(t, "")
+	var clients []testClient
+	for range 2 * maxLingering(b.c.cfg) {
+		clients = append(clients, b.connect())
 	}
 	b.stop()
-	for _, k := range clients {
-		k.gets(frame.NoMore, 0, 0, "")
+	for _, cl := range clients {
+		cl.expectFrame(frame.NoMore, 0, 0, "")
 	}
-	b.until(func() bool { return int(b.c.lingering.Load()) == len(clients) })
-	for _, k := range clients {
-		k.quick(1, "2000") // into the close
-		k.closes()
+	b.waitUntil(func() bool { return int(b.c.lingeringConns.Load()) == len(clients) })
+	for _, cl := range clients {
+		cl.sendQuickJob(1, "2000") // during the close
+		cl.expectClosed()
 	}
-	b.exits()
+	b.awaitExit()
 }
 
-// outFor is a job of a class with such a deadline, out on an engine that hangs.
-func outFor(t *testing.T, deadline time.Duration) (*bed, conn) {
+// startWithHangingJob starts a controller with a job of the given deadline in flight on an engine that hangs.
+func startWithHangingJob(t *testing.T, deadline time.Duration) (*testbed, testClient) {
 	t.Helper()
-	e := newStandIn(t, "127.0.0.1:0")
-	b := startWith(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Classes[0].Deadline = deadline }, e)
-	k := b.client()
-	k.quick(1, "20000")
-	e.hears("serve")
-	return b, k
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Classes[0].Deadline = deadline }, e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "20000")
+	e.expectCommand("serve")
+	return b, cl
 }
 
-// TestLongDeadlineWhileLeaving: an idempotent job on an engine that hangs, with a deadline far behind the end of the process,
-// is told to be tried elsewhere, before the end, and nothing new is sent that can't be answered by then.
+// TestLongDeadlineWhileLeaving: an idempotent job is in flight on an engine that hangs, and its deadline is far beyond
+// the end of the process. It is rejected before the end, so that its client tries elsewhere, and no attempt is begun that
+// can't be answered by then.
 func TestLongDeadlineWhileLeaving(t *testing.T) {
-	b, k := outFor(t, 20*time.Second)
+	b, cl := startWithHangingJob(t, 20*time.Second)
 	b.stop()
-	k.gets(frame.NoMore, 0, 0, "")
-	b.until(func() bool { return b.c.exit != nil })
-	b.c.do(func() {
-		if j := b.c.jobs["0000000000000001"]; j.out.until > b.c.exit.Last() || j.expires > b.c.exit.Last() {
-			t.Error("goes on behind the end")
+	cl.expectFrame(frame.NoMore, 0, 0, "")
+	b.waitUntil(func() bool { return b.c.exit != nil })
+	b.c.withLock(func() {
+		if j := b.c.jobs["0000000000000001"]; j.inFlight.deadline > b.c.exit.Last() || j.deadline > b.c.exit.Last() {
+			t.Error("attempt or job continues beyond the end of the process")
 		}
 	})
-	k.gets(frame.Answer, 1, frame.Rejected, "")
-	b.exits()
-	if b.c.counts[cutByExit] != 0 || b.c.counts[outcomeNotSent] != 0 {
-		t.Error(b.c.counts[cutByExit], "cut,", b.c.counts[outcomeNotSent], "attempts begun that had no time")
+	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
+	b.awaitExit()
+	if b.c.counts[jobsCutByExit] != 0 || b.c.counts[outcomeNotSent] != 0 {
+		t.Error(b.c.counts[jobsCutByExit], "cut,", b.c.counts[outcomeNotSent], "attempts not sent")
 	}
 }
 
-// TestCutAfterStandstill: a process that leaves stands still past its last moment, with a job out on an engine that hangs. Its
-// deadline and the first round of the end are then due together: the job is answered by its class, and not cut.
+// TestCutAfterStandstill: a process that exits stalls beyond its last moment, with a job in flight on an engine that
+// hangs. The job's deadline and the first exit round are then due together: the job is answered according to its class,
+// and not cut.
 func TestCutAfterStandstill(t *testing.T) {
-	b, k := outFor(t, time.Second)
-	b.c.do(func() { // nothing else is done under the lock
-		b.c.drain()
-		time.Sleep(b.c.exit.Last() + 2*lastWords - b.c.clock())
+	b, cl := startWithHangingJob(t, time.Second)
+	b.c.withLock(func() { // under the lock nothing else is handled
+		b.c.startDrain()
+		time.Sleep(b.c.exit.Last() + 2*shutdownGrace - b.c.clock())
 	})
-	k.gets(frame.NoMore, 0, 0, "")
-	k.gets(frame.Answer, 1, frame.Rejected, "")
-	b.exits()
-	if b.c.counts[cutByExit] != 0 {
-		t.Error(b.c.counts[cutByExit], "cut")
+	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
+	b.awaitExit()
+	if b.c.counts[jobsCutByExit] != 0 {
+		t.Error(b.c.counts[jobsCutByExit], "cut")
 	}
 }
 
-// TestNoDelay: small writes leave at once, on connections that were accepted and on those that were dialed.
+// TestNoDelay: TCP_NODELAY is set on accepted and on dialed connections.
 func TestNoDelay(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.quick(1, "2900")
-	e.hears("serve")
-	b.c.do(func() {
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendQuickJob(1, "2900")
+	e.expectCommand("serve")
+	b.c.withLock(func() {
 		links := []*link{b.c.discovery.link, b.c.engines["e0"].links[0].link}
-		for _, k := range b.c.clients {
-			links = append(links, k.link)
+		for _, cl := range b.c.clients {
+			links = append(links, cl.link)
 		}
 		for n, l := range links {
 			if l == nil {
-				continue // discovery's may be coming
+				continue // discovery's connection may not be open yet
 			}
 			on, err := syscall.GetsockoptInt(l.conn.(netpoll.Conn).Fd(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 			if on == 0 || err != nil {
@@ -151,21 +153,21 @@
 	})
 }
 
-// TestSlowWritersAtExit: the process does not end before the writers of its clients' connections have shut them, however slow they
-// are; here each waits out a long tick after the answer that it wrote last.
+// TestSlowWritersAtExit: the process does not exit before the writers of client connections have shut them down, however
+// slow they are; here each waits for a long tick after the last answer.
 func TestSlowWritersAtExit(t *testing.T) {
-	b := startWith(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Tick = 1200 * time.Millisecond })
-	k := b.client()
+	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Tick = 1200 * time.Millisecond })
+	cl := b.connect()
 	var client *client
-	b.c.do(func() {
+	b.c.withLock(func() {
 		for _, id := range sorted(b.c.clients) {
 			client = b.c.clients[id]
 		}
 	})
 	b.stop()
-	b.exits()
-	if !client.ended() {
-		t.Error("the process has ended and the connection is not shut")
+	b.awaitExit()
+	if !client.isShutOrClosed() {
+		t.Error("Run has ended and the connection is not shut down")
 	}
-	k.gets(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.NoMore, 0, 0, "")
 }
--- a/controller/dials.go
+++ b/controller/dials.go
@@ -13,139 +13,141 @@
 	"yarrowbarrow/logic"
 )
 
-// mostLinks leaves a sixteenth of the descriptors, and at least 24, to the listener, discovery's connections and dials, the
-// pollers and the standard streams, 16 in all, and to clients that linger or are turned away.
-func (c *Controller) mostLinks() int {
-	return c.cfg.Sockets - mostClients(c.cfg) - max(c.cfg.Sockets/16, 24)
+// maxLinks leaves a sixteenth of the descriptors, and at least 24, to the listener, the connections and dials to
+// discovery, the pollers and the standard streams, 16 in all, and to clients that linger or are turned away.
+func (c *Controller) maxLinks() int {
+	return c.cfg.Sockets - maxClients(c.cfg) - max(c.cfg.Sockets/16, 24)
 }
 
-// dial starts a connection. It runs beside everything else and is given up after the settings' time, or when
-// the engine loses its address.
+// dial opens a connection on a goroutine of its own. It gives up after the time in the settings, or when the engine loses
+// its address.
 func (c *Controller) dial(e *engine) {
 	address, err := netip.ParseAddrPort(e.address)
 	if err != nil {
-		c.refuse(e, logic.NoConnection)
+		c.failWaiting(e, logic.NoConnection)
 		return
 	}
-	if c.links >= c.mostLinks() {
-		c.waitForLink(e)
+	if c.linkCount >= c.maxLinks() {
+		c.waitForDescriptor(e)
 		return
 	}
-	c.links++
-	c.counts[dials]++
+	c.linkCount++
+	c.counts[dialsStarted]++
 	ctx, cancel := context.WithTimeout(context.Background(), c.cfg.Settings.ConnectTimeout)
-	n, connect := c.counts[dials], c.system.connect
-	e.dials[n] = cancel
-	c.aside(func() {
+	number, connect := c.counts[dialsStarted], c.sys.connect
+	e.dials[number] = cancel
+	c.spawn(func() {
 		conn, err := connect(ctx, address)
 		cancel()
 		if err != nil {
-			c.do(func() { c.dialed(e, n, nil, err) })
+			c.withLock(func() { c.dialFinished(e, number, nil, err) })
 			return
 		}
-		l := &engineLink{link: newLink(c, conn), engine: e, open: map[logic.JobID]*attempt{}}
-		c.do(func() {
+		l := &engineLink{link: newLink(c, conn), engine: e, attempts: map[logic.JobID]*attempt{}}
+		c.withLock(func() {
 			_ = conn.AddCloseCallback(func(netpoll.Connection) error {
-				c.do(func() { c.engineClosed(l) })
-				reading.closes(l.link)
+				c.withLock(func() { c.engineLinkClosed(l) })
+				runner.linkClosing(l.link)
 				return nil
 			})
-			reading.begin(l.link, l.onData)
-			c.dialed(e, n, l, nil)
+			runner.register(l.link, l.onData)
+			c.dialFinished(e, number, l, nil)
 		})
-		if !conn.IsActive() { // ended before there was a callback to tell
+		if !conn.IsActive() { // closed before the close callback was set
 			_ = conn.Close()
 		}
 	})
 }
 
-func (c *Controller) dialed(e *engine, n int64, l *engineLink, err error) {
-	wanted := e.dials[n] != nil
-	delete(e.dials, n)
-	if err == nil && !wanted { // the engine lost its address meanwhile: whoever has it now is another
-		l.stale = true
-		l.end()
+// dialFinished handles the end of a dial, successful or not.
+func (c *Controller) dialFinished(e *engine, number int64, l *engineLink, err error) {
+	wanted := e.dials[number] != nil
+	delete(e.dials, number)
+	if err == nil && !wanted { // the engine lost its address meanwhile, which may belong to another engine now
+		l.retired = true
+		l.closeWhenFlushed()
 	}
 	if err != nil {
-		full := errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
-		if c.linkFreed(); full && c.idlest() != nil {
-			c.waitForLink(e)
-		} else if isOfThisSystem(err) && e.dialsAgain < mostDialsAgain {
-			c.dialAgain(e, err)
-		} else if full || isOfThisSystem(err) {
+		outOfDescriptors := errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+		if c.linkReleased(); outOfDescriptors && c.longestIdleLink() != nil {
+			c.waitForDescriptor(e)
+		} else if isLocalError(err) && e.dialRetries < maxDialRetries {
+			c.retryDial(e, err)
+		} else if outOfDescriptors || isLocalError(err) {
 			c.counts[linksOverLimit]++
-			e.dialsAgain = 0
-			c.refuse(e, logic.NotSent)
+			e.dialRetries = 0
+			c.failWaiting(e, logic.NotSent)
 		} else {
 			c.counts[dialsFailed]++
-			c.refuse(e, logic.NoConnection)
+			c.failWaiting(e, logic.NoConnection)
 		}
 		return
 	}
-	c.use(e)
-	e.dialsAgain = 0
+	c.markActive(e)
+	e.dialRetries = 0
 	e.links = append(e.links, l)
-	l.used, l.heard = c.now, c.now
-	c.place(e)
+	l.lastUsed, l.lastHeard = c.now, c.now
+	c.placeWaiting(e)
 }
 
-// isOfThisSystem tells an error of socket(2) or connect(2) that says nothing about the engine.
-func isOfThisSystem(err error) bool {
-	for _, no := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR} {
-		if errors.Is(err, no) {
+// isLocalError reports whether an error of socket(2) or connect(2) is about this system and says nothing about the
+// engine.
+func isLocalError(err error) bool {
+	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
 	return false
 }
 
-// An engine is dialed again after a pause that doubles, mostDialsAgain times in a row: 5 to 160 ms. What waits for it is then told
-// as not sent, and may go elsewhere.
+// An engine is dialed again after a pause that doubles from 5 to 160 ms, at most maxDialRetries times in a row. Then the
+// attempts that wait for it are reported as not sent and may go to another engine.
 const (
-	leastDialPause = 5 * time.Millisecond
-	mostDialsAgain = 6
+	minDialPause   = 5 * time.Millisecond
+	maxDialRetries = 6
 )
 
-// dialAgain is for a dial that failed for want of something in this system.
-func (c *Controller) dialAgain(e *engine, err error) {
-	pause := leastDialPause << e.dialsAgain
-	e.dialsAgain++
-	c.counts[dialsAgain]++
+// retryDial schedules another dial after one that failed for lack of a local resource.
+func (c *Controller) retryDial(e *engine, err error) {
+	pause := minDialPause << e.dialRetries
+	e.dialRetries++
+	c.counts[dialsRetried]++
 	c.trace("dial again", reason(err.Error()), "engine", e.id, "pause", pause)
-	c.at(c.now+pause, func() { c.place(e) })
+	c.schedule(c.now+pause, func() { c.placeWaiting(e) })
 }
 
-// waitForLink guards jobs against descriptors that are all taken by connections to other engines: what waits for this one
-// goes on waiting, within its time, and the connection that has been idle for longest is closed for it.
-func (c *Controller) waitForLink(e *engine) {
-	if slices.Contains(c.short, e) {
+// waitForDescriptor handles a job that finds all descriptors in use by connections to other engines: the attempts for
+// this engine keep waiting, within their time, and the connection that has been idle for longest is closed for them.
+func (c *Controller) waitForDescriptor(e *engine) {
+	if slices.Contains(c.descriptorQueue, e) {
 		return
 	}
 	c.counts[linksOverLimit]++
-	c.short = append(c.short, e)
-	c.makeRoom()
+	c.descriptorQueue = append(c.descriptorQueue, e)
+	c.freeDescriptors()
 }
 
-// makeRoom closes so many idle connections as there are engines that wait for one. Where none is idle yet, the next one
-// that carries nothing is.
-func (c *Controller) makeRoom() {
-	for c.making < len(c.short) {
-		l := c.idlest()
+// freeDescriptors closes as many idle connections as there are engines waiting for a descriptor. Where none is idle yet,
+// the next one that becomes idle is closed.
+func (c *Controller) freeDescriptors() {
+	for c.closingForRoom < len(c.descriptorQueue) {
+		l := c.longestIdleLink()
 		if l == nil {
 			return
 		}
-		c.making++
-		c.trace("engine closed", "its descriptor is wanted", "engine", l.engine.id)
-		l.makesRoom, l.stale = true, true
-		l.end()
+		c.closingForRoom++
+		c.trace("engine closed", "descriptor needed for another engine", "engine", l.engine.id)
+		l.closingForRoom, l.retired = true, true
+		l.closeWhenFlushed()
 	}
 }
 
-// idlest is the connection to an engine that has carried nothing for longest, if any carries nothing.
-func (c *Controller) idlest() (best *engineLink) {
-	for _, id := range sorted(c.used) {
-		for _, l := range c.used[id].links {
-			if len(l.open) == 0 && !l.gone && !l.makesRoom && (best == nil || l.used < best.used) {
+// longestIdleLink returns the engine connection without attempts that was used least recently, or nil.
+func (c *Controller) longestIdleLink() (best *engineLink) {
+	for _, id := range sorted(c.activeEngines) {
+		for _, l := range c.activeEngines[id].links {
+			if len(l.attempts) == 0 && !l.failed && !l.closingForRoom && (best == nil || l.lastUsed < best.lastUsed) {
 				best = l
 			}
 		}
@@ -153,12 +155,13 @@
 	return best
 }
 
-// linkFreed tells that a connection to an engine is over, or did not come up, and lets the engine dial that waited longest.
-func (c *Controller) linkFreed() {
-	c.links--
-	for len(c.short) > 0 && c.links < c.mostLinks() {
-		e := c.short[0]
-		c.short = c.short[1:]
-		c.place(e)
+// linkReleased records that an engine connection is closed or could not be opened, and lets the engines that wait for a
+// descriptor dial, the longest-waiting first.
+func (c *Controller) linkReleased() {
+	c.linkCount--
+	for len(c.descriptorQueue) > 0 && c.linkCount < c.maxLinks() {
+		e := c.descriptorQueue[0]
+		c.descriptorQueue = c.descriptorQueue[1:]
+		c.placeWaiting(e)
 	}
 }
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -18,274 +18,285 @@
 	"yarrowbarrow/logic"
 )
 
-// discovery follows the list of engines: one connection, one call at a time, the next as soon as one is answered. A call whose
-// answer is late is asked again on another connection, while the first is still listened to: a connection that is dead says
-// nothing, and discovery that is slow would never be heard if its answers were given up. Jobs go on with the list that is held
-// while it is away.
+// discovery follows the list of engines: one connection with one call at a time, the next as soon as one is answered. A
+// call whose answer is late is repeated on another connection while the first is still read: a dead connection delivers
+// nothing, and answers of a slow discovery service would never be received if each were given up. While discovery is
+// unavailable, jobs continue with the last list.
 type discovery struct {
 	c         *Controller
 	address   string
 	pace      watch.Pace
 	link      *link
-	late      []*link       // whose answers are, the oldest first
-	last      int64         // number of the newest event held
-	call      int64         // of the call that is out, to tell old time-outs apart
-	waits     bool          // a call is out
-	rests     time.Duration // by so much the next call has been put off, or 0
-	calls     watch.Calls
-	following bool
-	dials     map[int64]context.CancelFunc // under way, by number
-	dialed    int64                        // the newest number
-	round     int64                        // of dials, to tell old alarms apart
-	failures  int                          // in a row
+	lateLinks []*link // connections whose answers are late, the oldest first
+	lastEvent int64   // number of the newest event received
+	// number of the current call, which tells timeouts of older calls apart
+	callNumber     int64
+	awaitingAnswer bool          // a call is in progress
+	callDelay      time.Duration // how long the next call was postponed, or 0
+	recentCalls    watch.Calls
+	following      bool
+	dials          map[int64]context.CancelFunc // in progress, by number
+	lastDial       int64                        // the newest number
+	dialRound      int64                        // number of the current series of dials, which tells timers of older series apart
+	failures       int                          // consecutive failures
 }
 
-// mostLate connections are listened to beside the newest one, and mostDials are under way at once: a few, as each takes a
-// descriptor of those kept free for discovery and its like.
-const mostLate, mostDials = 3, 4
+// maxLateLinks connections are read in addition to the newest one, and at most maxDiscoveryDials dials are in progress:
+// few, as each takes one of the descriptors that are reserved for discovery and similar uses.
+const maxLateLinks, maxDiscoveryDials = 3, 4
 
-// remembered tells the module what the configuration knows.
-func (f *discovery) remembered(known []byte) error {
-	events, err := f.parse(known)
+// loadKnown passes the engine list of the configuration to the module.
+func (d *discovery) loadKnown(known []byte) error {
+	events, err := d.parse(known)
 	if err == nil {
-		f.tell(events, func(bool) logic.ListKind { return logic.ListRemembered })
+		d.applyEvents(events, func(bool) logic.ListKind { return logic.ListRemembered })
 	}
 	return err
 }
 
-// longest is the most bytes of an answer that are taken, a sixteenth of small memories.
-func (f *discovery) longest() int { return int(min(http1.MaxBody, f.c.cfg.MemoryMB<<20/16)) }
+// maxAnswerBytes is the largest answer that is accepted, a sixteenth of the memory where that is small.
+func (d *discovery) maxAnswerBytes() int { return int(min(http1.MaxBody, d.c.cfg.MemoryMB<<20/16)) }
 
-// mostChanged is how often the list may have changed whole within one answer; each change is small and kept until it is taken.
-const mostChanged = 12
+// maxListChanges is how often the whole list may have changed within one answer; each change is small and kept until it
+// is applied.
+const maxListChanges = 12
 
-func (f *discovery) parse(text []byte) (listing.Events, error) {
-	return listing.Parse(text, mostChanged*f.c.mostEngines())
+// parse parses the events of an answer.
+func (d *discovery) parse(text []byte) (listing.Events, error) {
+	return listing.Parse(text, maxListChanges*d.c.maxEngines())
 }
 
-// mostEngines are kept. Each takes 4 kB at most by the operators' terms; 3,200 of them have room in the smallest memory.
-func (c *Controller) mostEngines() int { return int(c.cfg.MemoryMB) * 100 }
+// maxEngines is how many engines are kept. Each takes at most 4 kB under the operators' terms; 3,200 of them fit into the
+// smallest memory.
+func (c *Controller) maxEngines() int { return int(c.cfg.MemoryMB) * 100 }
 
-// start follows discovery from the beginning where changes come by themselves.
-func (f *discovery) start() {
-	if !f.c.cfg.Settings.Logic.ListOnRequest {
-		f.follow(true)
+// start follows discovery from the beginning where it reports changes unasked.
+func (d *discovery) start() {
+	if !d.c.cfg.Settings.Logic.ListOnRequest {
+		d.setFollowing(true)
 	}
 }
 
-func (f *discovery) follow(on bool) {
-	if f.following = on; on && !f.waits {
-		f.ask()
+// setFollowing starts or stops following discovery. A call in progress is not interrupted.
+func (d *discovery) setFollowing(on bool) {
+	if d.following = on; on && !d.awaitingAnswer {
+		d.sendCall()
 	}
 }
 
-// anew asks for the whole list.
-func (f *discovery) anew() {
-	f.last = 0
-	f.following = true
-	f.ask()
+// refetch requests the whole list.
+func (d *discovery) refetch() {
+	d.lastEvent = 0
+	d.following = true
+	d.sendCall()
 }
 
-// tell hands events to the module. A gap in the numbers has all of them read anew.
-func (f *discovery) tell(events listing.Events, kind func(whole bool) logic.ListKind) {
-	c := f.c
+// applyEvents passes events to the module. After a gap in their numbers the whole list is requested again.
+func (d *discovery) applyEvents(events listing.Events, kind func(whole bool) logic.ListKind) {
+	c := d.c
 	var listed map[logic.EngineID]bool
-	last, gap := events.Since(f.last, func(whole bool) {
+	last, gap := events.Since(d.lastEvent, func(whole bool) {
 		if listed = nil; whole {
 			listed = map[logic.EngineID]bool{}
 		}
 		c.counts[discoveryEvents]++
 		c.logic.ListBegins(c.now, kind(whole))
 	}, func(id logic.EngineID, address string, location logic.Location, kind logic.KindName, cell logic.Cell,
-		state logic.Health, weight float64, born time.Duration) {
+		state logic.Health, weight float64, reportedStart time.Duration) {
 		if listed != nil {
 			listed[id] = true
 		}
-		if c.engines[id] == nil && len(c.engines) >= c.mostEngines() {
+		if c.engines[id] == nil && len(c.engines) >= c.maxEngines() {
 			c.counts[enginesOverLimit]++
 			return
 		}
-		c.engineListed(id, address, location, kind, cell, state, weight, born)
-		c.routesSee(c.engines[id])
-		c.logic.EngineListed(c.now, id, location, kind, cell, state, weight, c.engines[id].started)
+		c.updateEngine(id, address, location, kind, cell, state, weight, reportedStart)
+		c.notifyRouter(c.engines[id])
+		c.logic.EngineListed(c.now, id, location, kind, cell, state, weight, c.engines[id].startedAt)
 	}, func() {
 		if listed != nil {
-			c.dropUnlisted(listed)
+			c.removeUnlisted(listed)
 		}
 		if c.router != nil {
 			c.router.ListEnds(c.now)
 		}
 		c.logic.ListEnds(c.now)
 	})
-	f.last = last
+	d.lastEvent = last
 	if gap {
 		c.counts[discoveryGaps]++
-		f.last = 0
+		d.lastEvent = 0
 	}
 }
 
-// dropUnlisted takes the engines that a whole list does not hold for gone.
-func (c *Controller) dropUnlisted(listed map[logic.EngineID]bool) {
+// removeUnlisted marks the engines that a whole list does not contain as gone.
+func (c *Controller) removeUnlisted(listed map[logic.EngineID]bool) {
 	for _, id := range sorted(c.engines) {
 		if e := c.engines[id]; !listed[id] && e.state != logic.Gone {
 			e.state = logic.Gone
-			if e.drained == 0 {
-				e.drained = c.now
+			if e.drainingSince == 0 {
+				e.drainingSince = c.now
 			}
-			c.use(e)
-			c.retract(e)
-			c.routesSee(e)
+			c.markActive(e)
+			c.withdrawUnsent(e)
+			c.notifyRouter(e)
 		}
 	}
 }
 
-// ask sends the next call, over a new connection when there is none.
-func (f *discovery) ask() {
-	c := f.c
-	if f.link == nil {
-		f.connect()
+// sendCall sends the next call, on a new connection if there is none.
+func (d *discovery) sendCall() {
+	c := d.c
+	if d.link == nil {
+		d.connect()
 		return
 	}
-	f.waits = true
-	f.call++
-	call, wait := f.call, c.apart.Poll(f.pace.Wait-f.rests) // in which a change may have been told
-	f.rests = 0
-	target := "/v1/events?SUB=" + strconv.FormatInt(f.last, 10) + "&wait=" +
+	d.awaitingAnswer = true
+	d.callNumber++
+	// wait is how long the service may hold the call until there is a change.
+	call, wait := d.callNumber, c.stagger.Poll(d.pace.Wait-d.callDelay)
+	d.callDelay = 0
+	target := "/v1/events?SUB=" + strconv.FormatInt(d.lastEvent, 10) + "&wait=" +
 		strconv.FormatInt(int64(wait/time.Millisecond), 10)
-	f.link.add(http1.AppendGet(nil, f.address, target))
+	d.link.enqueue(http1.AppendGet(nil, d.address, target))
 	c.counts[discoveryCalls]++
-	c.at(c.now+wait+f.pace.Slack, func() { f.answerDue(call) })
+	c.schedule(c.now+wait+d.pace.Slack, func() { d.checkCallTimeout(call) })
 }
 
-// unread tells that an answer has come and was not read to its end.
-func (f *discovery) unread() bool {
-	behind := func(l *link) bool { return l.unread() || l.half.Load() > 0 }
-	return f.link != nil && behind(f.link) || slices.ContainsFunc(f.late, behind)
+// hasUnread reports whether an answer has arrived that was not read to its end.
+func (d *discovery) hasUnread() bool {
+	incomplete := func(l *link) bool { return l.hasUnread() || l.partialSince.Load() > 0 }
+	return d.link != nil && incomplete(d.link) || slices.ContainsFunc(d.lateLinks, incomplete)
 }
 
-// answerDue looks whether a call has been answered in time. An answer that is arriving is not late: asked again beside it, it
-// would take even longer, and the list of a large fleet over a slow network would never be heard. Nor is one that lies unread, as
-// the process stood still.
-func (f *discovery) answerDue(call int64) {
-	if !f.waits || f.call != call || f.link == nil {
+// checkCallTimeout checks whether a call was answered in time. An answer that is still arriving is not late: a second
+// call beside it would slow it down further, and the list of a large fleet would never arrive over a slow network. An
+// answer that is unread because the process stalled is not late either.
+func (d *discovery) checkCallTimeout(call int64) {
+	if !d.awaitingAnswer || d.callNumber != call || d.link == nil {
 		return
 	}
-	if f.pace.Arriving(f.link.arrival(f.c.now)) || f.link.unread() {
-		f.c.at(f.c.now+f.pace.Slack, func() { f.answerDue(call) })
+	if d.pace.Arriving(d.link.arrivalAges(d.c.now)) || d.link.hasUnread() {
+		d.c.schedule(d.c.now+d.pace.Slack, func() { d.checkCallTimeout(call) })
 		return
 	}
-	f.silent()
+	d.handleSilence()
 }
 
-// askPaced sends the next call, later if many were answered of late: each change of a large list would be a call.
-func (f *discovery) askPaced() {
-	pause := f.calls.Next(f.c.now, f.pace)
+// sendPacedCall sends the next call, after a pause if many were answered recently: otherwise each change of a large list
+// would cost a call.
+func (d *discovery) sendPacedCall() {
+	pause := d.recentCalls.Next(d.c.now, d.pace)
 	if pause <= 0 {
-		f.ask()
+		d.sendCall()
 		return
 	}
-	f.rests = pause
-	f.c.at(f.c.now+pause, func() {
-		if f.rests > 0 && f.following && !f.waits {
-			f.ask()
+	d.callDelay = pause
+	d.c.schedule(d.c.now+pause, func() {
+		if d.callDelay > 0 && d.following && !d.awaitingAnswer {
+			d.sendCall()
 		}
 	})
 }
 
-// silent guards against a watch that says nothing more on a connection that stays up: another one is asked beside it.
-func (f *discovery) silent() {
-	c := f.c
+// handleSilence handles a connection that stays open but delivers no answer: the call is repeated on another connection,
+// and the silent one is still read.
+func (d *discovery) handleSilence() {
+	c := d.c
 	if c.cfg.Settings.Logic.ListOnRequest { // the module decides when to ask again
-		f.failed(errors.New("no answer in time"))
+		d.handleFailure(errors.New("no answer in time"))
 		return
 	}
-	c.counts[discoverySilent]++
-	if f.late = append(f.late, f.link); len(f.late) > mostLate {
-		c.closeSoon(f.late[0].conn)
-		f.late = f.late[1:]
+	c.counts[discoveryTimeouts]++
+	if d.lateLinks = append(d.lateLinks, d.link); len(d.lateLinks) > maxLateLinks {
+		c.closeAsync(d.lateLinks[0].conn)
+		d.lateLinks = d.lateLinks[1:]
 	}
-	f.link, f.waits = nil, false
-	f.connect()
+	d.link, d.awaitingAnswer = nil, false
+	d.connect()
 }
 
-// forgetLate closes the connections whose answers nobody needs any more.
-func (f *discovery) forgetLate() {
-	for _, l := range f.late {
-		f.c.closeSoon(l.conn)
+// closeLateLinks closes the connections whose answers are no longer needed.
+func (d *discovery) closeLateLinks() {
+	for _, l := range d.lateLinks {
+		d.c.closeAsync(l.conn)
 	}
-	f.late = nil
+	d.lateLinks = nil
 }
 
-// connect dials unless a dial is under way.
-func (f *discovery) connect() {
-	if len(f.dials) == 0 {
-		f.round++
-		f.dial()
-		f.dialAgain(f.round)
+// connect dials unless a dial is in progress.
+func (d *discovery) connect() {
+	if len(d.dials) == 0 {
+		d.dialRound++
+		d.dial()
+		d.scheduleParallelDial(d.dialRound)
 	}
 }
 
-// dialAgain guards against a connection that does not come up where the next one would: one is tried beside it.
-func (f *discovery) dialAgain(round int64) {
-	f.c.at(f.c.now+f.pace.Redial, func() {
-		if f.round != round || len(f.dials) == 0 {
+// scheduleParallelDial starts another dial if one is not finished after a while: a connection may fail to open where the
+// next one would.
+func (d *discovery) scheduleParallelDial(round int64) {
+	d.c.schedule(d.c.now+d.pace.Redial, func() {
+		if d.dialRound != round || len(d.dials) == 0 {
 			return
 		}
-		if len(f.dials) < mostDials {
-			f.dial()
+		if len(d.dials) < maxDiscoveryDials {
+			d.dial()
 		}
-		f.dialAgain(round)
+		d.scheduleParallelDial(round)
 	})
 }
 
-// giveUpDials ends those under way. One that comes up all the same leads to nothing.
-func (f *discovery) giveUpDials() {
-	for _, stop := range f.dials {
-		stop()
+// cancelDials cancels the dials in progress. A connection that opens all the same is closed.
+func (d *discovery) cancelDials() {
+	for _, cancel := range d.dials {
+		cancel()
 	}
-	clear(f.dials)
+	clear(d.dials)
 }
 
-func (f *discovery) dial() {
-	c := f.c
-	address, err := netip.ParseAddrPort(f.address)
+// dial opens a connection to discovery on a goroutine of its own. The first one that opens is used; it cancels the
+// others.
+func (d *discovery) dial() {
+	c := d.c
+	address, err := netip.ParseAddrPort(d.address)
 	if err != nil {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), max(c.cfg.Settings.ConnectTimeout, time.Second))
-	f.dialed++
-	number, connect := f.dialed, c.system.connect
-	f.dials[number] = stop
-	c.aside(func() {
+	ctx, cancel := context.WithTimeout(context.Background(), max(c.cfg.Settings.ConnectTimeout, time.Second))
+	d.lastDial++
+	number, connect := d.lastDial, c.sys.connect
+	d.dials[number] = cancel
+	c.spawn(func() {
 		conn, err := connect(ctx, address)
-		stop()
+		cancel()
 		if err != nil {
-			c.do(func() {
-				wanted := f.dials[number] != nil
-				if delete(f.dials, number); wanted && len(f.dials) == 0 {
-					f.failed(err)
+			c.withLock(func() {
+				wanted := d.dials[number] != nil
+				if delete(d.dials, number); wanted && len(d.dials) == 0 {
+					d.handleFailure(err)
 				}
 			})
 			return
 		}
 		l := newLink(c, conn)
-		l.ownBound = true
-		c.do(func() {
+		l.ownLimit = true
+		c.withLock(func() {
 			_ = conn.AddCloseCallback(func(netpoll.Connection) error {
-				c.do(func() { f.closed(l) })
-				reading.closes(l)
+				c.withLock(func() { d.linkClosed(l) })
+				runner.linkClosing(l)
 				return nil
 			})
-			var seen http1.Progress
-			reading.begin(l, func() { f.onData(l, &seen) })
-			if f.dials[number] == nil {
-				c.closeSoon(conn)
+			var progress http1.Progress
+			runner.register(l, func() { d.onData(l, &progress) })
+			if d.dials[number] == nil {
+				c.closeAsync(conn)
 				return
 			}
-			f.giveUpDials()
-			f.link = l
-			if f.following {
-				f.ask()
+			d.cancelDials()
+			d.link = l
+			if d.following {
+				d.sendCall()
 			}
 		})
 		if !conn.IsActive() {
@@ -294,149 +305,152 @@
 	})
 }
 
-// move follows discovery at another address from the last number held. What the old one would still say, on its
-// connection or on a dial under way, is not heard any more.
-func (f *discovery) move(address string) {
-	if address == f.address {
+// changeAddress follows discovery at another address from the last event number on. Input from the old address, on its
+// connection or on a dial in progress, is ignored from now on.
+func (d *discovery) changeAddress(address string) {
+	if address == d.address {
 		return
 	}
-	f.address, f.waits, f.failures = address, false, 0
-	f.call++
-	f.giveUpDials()
-	f.forgetLate()
-	if f.link != nil {
-		f.c.closeSoon(f.link.conn)
-		f.link = nil
+	d.address, d.awaitingAnswer, d.failures = address, false, 0
+	d.callNumber++
+	d.cancelDials()
+	d.closeLateLinks()
+	if d.link != nil {
+		d.c.closeAsync(d.link.conn)
+		d.link = nil
 	}
-	if f.following {
-		f.ask()
+	if d.following {
+		d.sendCall()
 	}
 }
 
-func (f *discovery) closed(l *link) {
-	l.closed()
-	f.late = slices.DeleteFunc(f.late, func(o *link) bool { return o == l })
-	if f.link != l {
+// linkClosed handles the end of a discovery connection.
+func (d *discovery) linkClosed(l *link) {
+	l.markClosed()
+	d.lateLinks = slices.DeleteFunc(d.lateLinks, func(other *link) bool { return other == l })
+	if d.link != l {
 		return
 	}
 	// A body without a length ends with its connection.
-	_, body, size, _, err := http1.Next(l.rest, true, f.longest(), &http1.Progress{})
-	if f.link = nil; f.waits && size > 0 && err == nil {
-		f.waits = false
-		f.heard(f.parse(body))
-	} else if f.waits {
-		f.failed(errors.New("connection closed"))
+	_, body, size, _, err := http1.Next(l.partial, true, d.maxAnswerBytes(), &http1.Progress{})
+	if d.link = nil; d.awaitingAnswer && size > 0 && err == nil {
+		d.awaitingAnswer = false
+		d.handleEvents(d.parse(body))
+	} else if d.awaitingAnswer {
+		d.handleFailure(errors.New("connection closed"))
 	}
 }
 
-// failed guards against discovery that is away or broken: it is tried again after a pause that grows and is drawn
-// (decide/spread), so that controllers that lost it together do not come back together.
-func (f *discovery) failed(err error) {
-	c := f.c
+// handleFailure handles a discovery service that is unreachable or broken: it is called again after a randomized pause
+// that grows (decide/spread), so that controllers that lost it together do not return together.
+func (d *discovery) handleFailure(err error) {
+	c := d.c
 	c.counts[discoveryFailures]++
-	if f.failures == 0 { // once, not at each try
-		c.note(slog.LevelWarn, "discovery lost", "why", err)
+	if d.failures == 0 { // logged once, not for each try
+		c.logEvent(slog.LevelWarn, "discovery lost", "why", err)
 	}
-	f.waits = false
-	if f.link != nil {
-		c.closeSoon(f.link.conn)
-		f.link = nil
+	d.awaitingAnswer = false
+	if d.link != nil {
+		c.closeAsync(d.link.conn)
+		d.link = nil
 	}
-	f.failures++
+	d.failures++
 	if c.cfg.Settings.Logic.ListOnRequest {
-		f.following = false
+		d.following = false
 		c.logic.ListBegins(c.now, logic.ListRefused)
 		c.logic.ListEnds(c.now)
 		return
 	}
-	c.at(c.now+c.apart.Again(f.failures, f.pace.Pause), func() {
-		if f.following && !f.waits && f.link == nil {
-			f.ask()
+	c.schedule(c.now+c.stagger.Again(d.failures, d.pace.Pause), func() {
+		if d.following && !d.awaitingAnswer && d.link == nil {
+			d.sendCall()
 		}
 	})
 }
 
-func (f *discovery) onData(l *link, seen *http1.Progress) {
-	c := f.c
-	err := l.read(func(data []byte) (func(), int, error) {
-		status, body, size, last, err := http1.Next(data, false, f.longest(), seen)
+// onData parses the answers on a connection.
+func (d *discovery) onData(l *link, progress *http1.Progress) {
+	c := d.c
+	err := l.readMessages(func(data []byte) (func(), int, error) {
+		status, body, size, last, err := http1.Next(data, false, d.maxAnswerBytes(), progress)
 		if err != nil || size == 0 {
 			return nil, 0, err
 		}
 		var events listing.Events
-		var faulty error
-		if status == 200 { // a long list is read before the lock is taken
-			events, faulty = f.parse(body)
+		var parseErr error
+		if status == 200 { // a long list is parsed before the lock is taken
+			events, parseErr = d.parse(body)
 		}
-		return func() { f.answered(l, status, last, events, faulty) }, size, nil
+		return func() { d.handleAnswer(l, status, last, events, parseErr) }, size, nil
 	})
 	if err != nil {
-		c.do(func() {
-			if f.link == l {
-				f.failed(err)
+		c.withLock(func() {
+			if d.link == l {
+				d.handleFailure(err)
 			} else {
-				c.closeSoon(l.conn)
+				c.closeAsync(l.conn)
 			}
 		})
 	}
 }
 
-// answered takes the answer to a call, the last on its connection or not.
-func (f *discovery) answered(l *link, status int, last bool, events listing.Events, faulty error) {
-	if slices.Contains(f.late, l) {
-		f.heardLate(l, status, events, faulty)
+// handleAnswer handles the answer to a call; last tells whether it is the last one on its connection.
+func (d *discovery) handleAnswer(l *link, status int, last bool, events listing.Events, parseErr error) {
+	if slices.Contains(d.lateLinks, l) {
+		d.handleLateAnswer(l, status, events, parseErr)
 		return
 	}
-	if f.link != l || !f.waits {
+	if d.link != l || !d.awaitingAnswer {
 		return
 	}
-	f.waits = false
+	d.awaitingAnswer = false
 	if last {
-		f.c.closeSoon(l.conn)
-		f.link = nil
+		d.c.closeAsync(l.conn)
+		d.link = nil
 	}
 	if status != 200 {
-		f.failed(fmt.Errorf("status %d", status))
+		d.handleFailure(fmt.Errorf("status %d", status))
 		return
 	}
-	f.heard(events, faulty)
+	d.handleEvents(events, parseErr)
 }
 
-// heardLate takes what a late answer tells that the newer call has not told yet, which goes on.
-func (f *discovery) heardLate(l *link, status int, events listing.Events, faulty error) {
-	f.late = slices.DeleteFunc(f.late, func(o *link) bool { return o == l })
-	f.c.closeSoon(l.conn)
-	before := f.last
-	if status == 200 && faulty == nil {
-		f.tell(events, whole)
-		f.last = max(f.last, before)
+// handleLateAnswer applies events of a late answer that the newer call has not delivered yet. That call continues.
+func (d *discovery) handleLateAnswer(l *link, status int, events listing.Events, parseErr error) {
+	d.lateLinks = slices.DeleteFunc(d.lateLinks, func(other *link) bool { return other == l })
+	d.c.closeAsync(l.conn)
+	previous := d.lastEvent
+	if status == 200 && parseErr == nil {
+		d.applyEvents(events, listKind)
+		d.lastEvent = max(d.lastEvent, previous)
 	}
 }
 
-func whole(yes bool) logic.ListKind {
-	if yes {
+// listKind returns the kind of an event's list.
+func listKind(wholeList bool) logic.ListKind {
+	if wholeList {
 		return logic.ListWhole
 	}
 	return logic.ListChanges
 }
 
-// heard takes an answer and asks on.
-func (f *discovery) heard(events listing.Events, faulty error) {
-	c, before := f.c, f.last
-	f.forgetLate()
-	if faulty != nil {
-		f.failed(faulty)
+// handleEvents applies an answer and sends the next call.
+func (d *discovery) handleEvents(events listing.Events, parseErr error) {
+	c, previous := d.c, d.lastEvent
+	d.closeLateLinks()
+	if parseErr != nil {
+		d.handleFailure(parseErr)
 		return
 	}
-	f.tell(events, whole)
+	d.applyEvents(events, listKind)
 	switch {
-	case f.last < before: // numbers that can't be right: not at once again
-		f.failed(errors.New("events are missing"))
-	case f.following:
-		if f.failures > 0 {
-			c.note(slog.LevelInfo, "discovery answers again")
+	case d.lastEvent < previous: // the numbers can't be right: call again only after a pause
+		d.handleFailure(errors.New("events are missing"))
+	case d.following:
+		if d.failures > 0 {
+			c.logEvent(slog.LevelInfo, "discovery answers again")
 		}
-		f.failures = 0
-		f.askPaced()
+		d.failures = 0
+		d.sendPacedCall()
 	}
 }
