--- a/controller/engines.go
+++ b/controller/engines.go
@@ -14,241 +14,254 @@
 	"yarrowbarrow/logic"
 )
 
-// engine is an engine of the list and the connections to it.
+// engine is a listed engine and the connections to it.
 type engine struct {
-	id         logic.EngineID
-	address    string // none once another engine has it
-	location   logic.Location
-	kind       logic.KindName
-	cell       logic.Cell
-	state      logic.Health
-	weight     float64
-	born       time.Duration // as discovery tells it
-	started    time.Duration // by the controller's clock, 0 for long ago
-	drained    time.Duration // when it was told to take nothing new, 0 while it takes jobs
-	links      []*engineLink
-	waiting    []*attempt // for a connection
-	dials      map[int64]context.CancelFunc
-	dialsAgain int           // in a row, for want of something in this system
-	heard      time.Duration // when bytes last came, on any connection
-	trip       trip
-}
-
-// trip is the time that a command and its answer take, learned from pages, which cost an engine nothing.
-type trip struct{ mean, spread time.Duration }
-
-// add smooths as TCP does for its own time-outs.
-func (t *trip) add(took time.Duration) {
+	id            logic.EngineID
+	address       string // empty once another engine has it
+	location      logic.Location
+	kind          logic.KindName
+	cell          logic.Cell
+	state         logic.Health
+	weight        float64
+	reportedStart time.Duration // Unix time, as discovery reports it
+	startedAt     time.Duration // by the controller's clock, 0 if long ago
+	drainingSince time.Duration // since when it is not to receive new jobs, 0 while it may
+	links         []*engineLink
+	waiting       []*attempt // attempts that wait for a connection
+	dials         map[int64]context.CancelFunc
+	// consecutive dials that failed for lack of a local resource
+	dialRetries int
+	lastHeard   time.Duration // when bytes last arrived, on any connection
+	rtt         rttEstimate
+}
+
+// rttEstimate estimates the time from a command to its answer. Its samples are page reads, which cost an engine nothing.
+type rttEstimate struct{ mean, deviation time.Duration }
+
+// addSample smooths like TCP's retransmission timer.
+func (t *rttEstimate) addSample(sample time.Duration) {
 	if t.mean == 0 {
-		t.mean, t.spread = took, took/2
+		t.mean, t.deviation = sample, sample/2
 		return
 	}
-	t.spread += ((took - t.mean).Abs() - t.spread) / 4
-	t.mean += (took - t.mean) / 8
+	t.deviation += ((sample - t.mean).Abs() - t.deviation) / 4
+	t.mean += (sample - t.mean) / 8
 }
 
-// most is a time in which a trip is over nearly always, what the engine takes to read a command included. Ten
-// milliseconds, far above the trips of a network between neighbours and little against a job, are the least;
-// fifty the most, as trips that took longer were held up on this machine.
-func (t *trip) most() time.Duration {
-	return min(max(t.mean+4*t.spread, 10*time.Millisecond), 50*time.Millisecond)
+// upperBound is a time within which nearly every round trip completes, including the time that the engine takes to read a
+// command. The lower limit is 10 ms, far above round trips in a local network and short compared with a job. The upper
+// limit is 50 ms, as longer round trips were caused by delays on this machine.
+func (t *rttEstimate) upperBound() time.Duration {
+	return min(max(t.mean+4*t.deviation, 10*time.Millisecond), 50*time.Millisecond)
 }
 
 // engineLink is a connection to an engine.
 type engineLink struct {
 	*link
-	engine *engine
-	open   map[logic.JobID]*attempt
-	used   time.Duration // when an attempt last began or ended
-	heard  time.Duration // when bytes last came
-	mute   int           // attempts that timed out since
-	stale  bool          // takes nothing new
-	gone   bool
+	engine             *engine
+	attempts           map[logic.JobID]*attempt // in flight on it
+	lastUsed           time.Duration            // when an attempt last began or ended
+	lastHeard          time.Duration            // when bytes last arrived
+	timeoutsSinceHeard int                      // attempts that timed out since bytes last arrived
+	retired            bool                     // takes no new attempts
+	failed             bool                     // closed, or its input was malformed
 
-	isClosed   bool
-	whenClosed []func() // to be done then, under the lock
+	isClosed bool
+	// calls to make, under the lock, when the connection is closed
+	onClosed []func()
 
-	makesRoom bool // it is closed so that another engine may have its descriptor
+	// it is closing so that another engine may use its descriptor
+	closingForRoom bool
 }
 
-func (l *engineLink) hears() { l.heard, l.engine.heard, l.mute = l.c.now, l.c.now, 0 }
+// markHeard records that bytes arrived from the engine.
+func (l *engineLink) markHeard() {
+	l.lastHeard, l.engine.lastHeard, l.timeoutsSinceHeard = l.c.now, l.c.now, 0
+}
 
-// probe is a question to an engine that belongs to no job.
+// probe is a health request to an engine that belongs to no job.
 type probe struct {
 	engine *engine
-	sent   time.Duration
+	sentAt time.Duration
 }
 
+// sorted returns the keys of a map in ascending order.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// engineListed keeps what discovery tells of an engine, before the module hears of it.
-func (c *Controller) engineListed(id logic.EngineID, address string, location logic.Location,
-	kind logic.KindName, cell logic.Cell, state logic.Health, weight float64, born time.Duration) {
+// updateEngine records what discovery reports about an engine, before the module is told.
+func (c *Controller) updateEngine(id logic.EngineID, address string, location logic.Location,
+	kind logic.KindName, cell logic.Cell, state logic.Health, weight float64, reportedStart time.Duration) {
 	e := c.engines[id]
 	if e == nil {
 		e = &engine{id: id, address: address, dials: map[int64]context.CancelFunc{}}
 		c.engines[id] = e
-		e.heardOfStart(c, born)
+		e.setReportedStart(c, reportedStart)
 	}
 	if state == logic.Gone {
-		c.use(e)
+		c.markActive(e)
 	} else {
-		c.takeAddress(e, address)
+		c.claimAddress(e, address)
 	}
 	if e.state != state {
 		c.trace("engine", "listed", "engine", id, "from", e.state.String(), "to", state.String())
 	}
 	if state == logic.Up {
-		e.drained = 0
-	} else if e.drained == 0 {
-		e.drained = c.now
+		e.drainingSince = 0
+	} else if e.drainingSince == 0 {
+		e.drainingSince = c.now
 	}
-	moved := e.address != address || e.born != born
-	if e.born != born {
-		e.heardOfStart(c, born)
+	replaced := e.address != address || e.reportedStart != reportedStart
+	if e.reportedStart != reportedStart {
+		e.setReportedStart(c, reportedStart)
 	}
 	e.address, e.location, e.kind, e.cell, e.state, e.weight = address, location, kind, cell, state, weight
-	if moved { // another process: what is open to the old one leads nowhere new, and what is queued would go there
-		c.abandon(e)
-		c.takeBackQueued(e)
-		c.place(e)
+	if replaced { // another process: open connections lead to the old one, and queued attempts would go there
+		c.retireLinks(e)
+		c.withdrawQueued(e)
+		c.placeWaiting(e)
 	}
 	if state != logic.Up {
-		c.retract(e)
+		c.withdrawUnsent(e)
 	}
 }
 
-// heardOfStart turns what discovery tells of an engine's start into a time of the controller's clock.
-func (e *engine) heardOfStart(c *Controller, born time.Duration) {
-	e.born, e.started = born, watch.Started(c.now, c.system.wallClock(), born)
+// setReportedStart converts the start time that discovery reports to the controller's clock.
+func (e *engine) setReportedStart(c *Controller, reportedStart time.Duration) {
+	e.reportedStart, e.startedAt = reportedStart, watch.Started(c.now, c.sys.wallClock(), reportedStart)
 }
 
-// takeAddress guards against work for an engine that is gone reaching the one that has its address now.
-func (c *Controller) takeAddress(e *engine, address string) {
-	if o := c.byAddress[address]; o != nil && o != e && o.address == address {
-		c.unaddress(o)
+// claimAddress gives an address to an engine and takes it from its previous owner, so that work for an engine that is
+// gone does not reach the one that has its address now.
+func (c *Controller) claimAddress(e *engine, address string) {
+	if owner := c.engineByAddress[address]; owner != nil && owner != e && owner.address == address {
+		c.dropAddress(owner)
 	}
-	if e.address != address && c.byAddress[e.address] == e {
-		delete(c.byAddress, e.address)
+	if e.address != address && c.engineByAddress[e.address] == e {
+		delete(c.engineByAddress, e.address)
 	}
-	c.byAddress[address] = e
+	c.engineByAddress[address] = e
 }
 
-// use has the sweeps look at an engine: those of a large list that have no connection and are not gone cost nothing.
-func (c *Controller) use(e *engine) { c.used[e.id] = e }
+// markActive includes an engine in the sweeps. Engines of a large list that have no connection and are not gone are left
+// out and cost nothing.
+func (c *Controller) markActive(e *engine) { c.activeEngines[e.id] = e }
 
-func (c *Controller) unaddress(e *engine) {
+// dropAddress takes an engine's address away and ends what was on its way to it.
+func (c *Controller) dropAddress(e *engine) {
 	e.address = ""
-	c.abandon(e)
-	c.takeBackQueued(e)
-	c.refuse(e, logic.NoConnection)
+	c.retireLinks(e)
+	c.withdrawQueued(e)
+	c.failWaiting(e, logic.NoConnection)
 }
 
-// abandon has nothing new go on the connections to an engine, those being dialed among them.
-func (c *Controller) abandon(e *engine) {
+// retireLinks stops the use of the connections to an engine for new attempts and cancels the dials.
+func (c *Controller) retireLinks(e *engine) {
 	for _, l := range e.links {
-		l.stale = true
+		l.retired = true
 	}
-	for n, cancel := range e.dials {
+	for number, cancel := range e.dials {
 		cancel()
-		delete(e.dials, n)
+		delete(e.dials, number)
 	}
 }
 
-// retract guards the drain of an engine that takes in nothing: what has not left by now would leave any time later.
-func (c *Controller) retract(e *engine) {
-	c.takeBackQueued(e)
-	for _, d := range e.waiting {
-		c.later(func() { c.takeBack(d) })
+// withdrawUnsent protects the drain of an engine that reads nothing: attempts not sent by now could be sent at any later
+// time.
+func (c *Controller) withdrawUnsent(e *engine) {
+	c.withdrawQueued(e)
+	for _, a := range e.waiting {
+		c.runLater(func() { c.withdrawAttempt(a) })
 	}
 }
 
-// takeBackQueued ends what is on connections to an engine and has not left.
-func (c *Controller) takeBackQueued(e *engine) {
+// withdrawQueued withdraws the attempts that are queued on connections to an engine and were not sent.
+func (c *Controller) withdrawQueued(e *engine) {
 	for _, l := range e.links {
-		for _, id := range sorted(l.open) {
-			d := l.open[id]
-			c.later(func() { c.takeBack(d) })
+		for _, id := range sorted(l.attempts) {
+			a := l.attempts[id]
+			c.runLater(func() { c.withdrawAttempt(a) })
 		}
 	}
 }
 
-// refuse tells the outcome of what waits for a connection to an engine and has no dial left to wait for.
-func (c *Controller) refuse(e *engine, o logic.Outcome) {
-	for _, d := range slices.Clone(e.waiting[:max(len(e.waiting)-len(e.dials), 0)]) {
-		c.later(func() { c.over(d, o) })
+// failWaiting ends the attempts that wait for a connection to an engine, beyond those for which a dial is under way.
+func (c *Controller) failWaiting(e *engine, outcome logic.Outcome) {
+	for _, a := range slices.Clone(e.waiting[:max(len(e.waiting)-len(e.dials), 0)]) {
+		c.runLater(func() { c.finishAttempt(a, outcome) })
 	}
 }
 
-// send has an attempt wait for a connection, which is mostly there already.
-func (c *Controller) send(d *attempt) {
-	c.use(d.engine)
-	d.engine.waiting = append(d.engine.waiting, d)
-	c.place(d.engine)
+// sendAttempt queues an attempt for a connection to its engine; usually one is open already.
+func (c *Controller) sendAttempt(a *attempt) {
+	c.markActive(a.engine)
+	a.engine.waiting = append(a.engine.waiting, a)
+	c.placeWaiting(a.engine)
 }
 
-// place puts what waits on connections. Each attempt has one to itself while descriptors last, as one spoilt or
-// lost answer takes along all that is open on its connection; after that they share, up to the settings' number.
-func (c *Controller) place(e *engine) {
-	crowded := c.links >= c.mostLinks()*3/4
-	for at, need := 0, 1; at < len(e.waiting); {
-		d := e.waiting[at]
-		if !c.fit(d) {
-			e.waiting = slices.Delete(e.waiting, at, at+1)
-			c.counts[unfit]++
-			c.later(func() { c.takeBack(d) })
+// placeWaiting assigns waiting attempts to connections. Each attempt has a connection to itself while descriptors last,
+// because a malformed or lost answer fails everything that is open on its connection. After that attempts share
+// connections, up to the number in the settings.
+func (c *Controller) placeWaiting(e *engine) {
+	crowded := c.linkCount >= c.maxLinks()*3/4
+	for i, neededDials := 0, 1; i < len(e.waiting); {
+		a := e.waiting[i]
+		if !c.maySend(a) {
+			e.waiting = slices.Delete(e.waiting, i, i+1)
+			c.counts[attemptsUnfit]++
+			c.runLater(func() { c.withdrawAttempt(a) })
 			continue
 		}
-		if c.unsure(d) {
-			c.at(c.clock()+catchUp, func() { c.place(e) }) // not by c.now, which a process that is behind has long passed
-			at++
+		if c.mustAwaitInput(a) {
+			// Counted from clock() and not from c.now, which lags far behind in a stalled process.
+			c.schedule(c.clock()+unreadRecheckInterval, func() { c.placeWaiting(e) })
+			i++
 			continue
 		}
-		l := e.roomiest(d.job)
-		if l != nil && (len(l.open) == 0 || crowded && len(l.open) < c.cfg.Settings.Streams) {
-			e.waiting = slices.Delete(e.waiting, at, at+1)
-			if c.mayBegin(d) {
-				c.put(d, l)
+		l := e.leastLoadedLink(a.job)
+		if l != nil && (len(l.attempts) == 0 || crowded && len(l.attempts) < c.cfg.Settings.Streams) {
+			e.waiting = slices.Delete(e.waiting, i, i+1)
+			if c.mayBegin(a) {
+				c.writeAttempt(a, l)
 			} else {
-				c.counts[unfit]++
-				c.later(func() { c.takeBack(d) })
+				c.counts[attemptsUnfit]++
+				c.runLater(func() { c.withdrawAttempt(a) })
 			}
 			continue
 		}
-		if len(e.dials) == 0 || !crowded && len(e.dials) < need {
+		if len(e.dials) == 0 || !crowded && len(e.dials) < neededDials {
 			c.dial(e)
 		}
-		at, need = at+1, need+1
+		i, neededDials = i+1, neededDials+1
 	}
 }
 
-// mayBegin asks the module about an attempt that has waited since it was decided.
-func (c *Controller) mayBegin(d *attempt) bool {
-	return c.now == d.sent || c.logic.Began(c.now, d.job.id)
+// mayBegin asks the module again about an attempt that has waited since it was decided.
+func (c *Controller) mayBegin(a *attempt) bool {
+	return c.now == a.decidedAt || c.logic.Began(c.now, a.job.id)
 }
 
-// roomiest is the connection in use with least open, but for those on which the job's id has been.
-func (e *engine) roomiest(j *job) (best *engineLink) {
+// leastLoadedLink returns the usable connection with the fewest attempts that has not carried the job's id, or nil.
+func (e *engine) leastLoadedLink(j *job) (best *engineLink) {
 	for _, l := range e.links {
-		if !l.stale && !l.gone && !slices.Contains(j.on, l) && (best == nil || len(l.open) < len(best.open)) {
+		if !l.retired && !l.failed && !slices.Contains(j.usedLinks, l) && (best == nil || len(l.attempts) < len(best.attempts)) {
 			best = l
 		}
 	}
 	return best
 }
 
-// mostQueued is how long an attempt waits on its connection to leave, beyond the tick that a writer pauses. One that has not left
-// by then, as the process stood still or the engine takes nothing in, is taken back and decided anew: its client, its engine and its
-// time were looked at when it was queued.
-const mostQueued = 85 * time.Millisecond
+// maxQueueTime is how long an attempt may stay queued on its connection, beyond the tick for which a writer pauses. An
+// attempt that is still unsent after that, because the process stalled or the engine reads nothing, is withdrawn and
+// decided again: its client, its engine and its time were checked when it was queued.
+const maxQueueTime = 85 * time.Millisecond
 
-// put queues an attempt on a connection: the head, the statement as it came, and the end of the line.
-func (c *Controller) put(d *attempt, l *engineLink) {
-	j := d.job
-	fields := "class=" + string(j.name) + ",wait=" +
-		strconv.FormatInt(max(int64((d.until-c.now)/time.Millisecond), 1), 10)
-	if j.once != "" {
-		fields += ",once=" + j.once
+// writeAttempt queues an attempt on a connection: the head, the statement as it arrived, and the end of the line.
+func (c *Controller) writeAttempt(a *attempt, l *engineLink) {
+	j := a.job
+	fields := "class=" + string(j.class) + ",wait=" +
+		strconv.FormatInt(max(int64((a.deadline-c.now)/time.Millisecond), 1), 10)
+	if j.idempotencyKey != "" {
+		fields += ",once=" + j.idempotencyKey
 	}
 	if j.memoryMB > 0 {
 		fields += ",heap=" + strconv.FormatInt(j.memoryMB, 10)
@@ -259,231 +272,236 @@
 	head := resp.AppendWord(resp.AppendArray(make([]byte, 0, 192), 4), "serve")
 	head = resp.AppendWord(resp.AppendWord(head, string(j.id)), fields)
 	head = resp.AppendWordHead(head, len(j.statement))
-	d.link, j.last, j.on = l, d, append(j.on, l)
-	l.open[j.id] = d
-	l.used = c.now
-	last := min(d.last, c.now+mostQueued+c.cfg.Settings.Logic.Tick)
-	d.message = l.addUntil(last, &d.left, head, j.statement, []byte("\r\n"))
-	if last < d.last {
-		c.at(last, func() { c.takeBack(d) })
-	}
-	// Guards against an engine that takes nothing in: its connection is given up, and with it what is open.
+	a.link, j.lastSent, j.usedLinks = l, a, append(j.usedLinks, l)
+	l.attempts[j.id] = a
+	l.lastUsed = c.now
+	sendBy := min(a.sendBy, c.now+maxQueueTime+c.cfg.Settings.Logic.Tick)
+	a.messageNumber = l.enqueueUntil(sendBy, &a.firstByteAt, head, j.statement, []byte("\r\n"))
+	if sendBy < a.sendBy {
+		c.schedule(sendBy, func() { c.withdrawAttempt(a) })
+	}
+	// An engine that reads nothing loses its connection, and with it all attempts that are open on it.
 	if int64(l.backlog()) > c.cfg.MemoryMB<<20/16 {
-		l.stale = true
+		l.retired = true
 		c.counts[enginesTooSlow]++
-		c.trace("engine closed", "takes nothing in", "engine", d.engine.id, "jobs", len(l.open))
-		c.closeSoon(l.conn)
+		c.trace("engine closed", "peer does not read", "engine", a.engine.id, "jobs", len(l.attempts))
+		c.closeAsync(l.conn)
 	}
 }
 
-// say queues a command about a job.
-func (l *engineLink) say(words ...string) {
+// sendCommand queues a command, usually about a job.
+func (l *engineLink) sendCommand(words ...string) {
 	line := resp.AppendArray(nil, len(words))
 	for _, word := range words {
 		line = resp.AppendWord(line, word)
 	}
-	l.add(line)
+	l.enqueue(line)
 }
 
-// letGo ends an attempt on the wire: what is no longer wanted is cancelled, or its pages released.
-func (c *Controller) letGo(d *attempt) {
-	j := d.job
-	if d.link == nil {
-		d.engine.waiting = slices.DeleteFunc(d.engine.waiting, func(o *attempt) bool { return o == d })
+// releaseAttempt ends an attempt on the wire: it cancels a job that is no longer wanted, or releases its pages.
+func (c *Controller) releaseAttempt(a *attempt) {
+	j := a.job
+	if a.link == nil {
+		a.engine.waiting = slices.DeleteFunc(a.engine.waiting, func(other *attempt) bool { return other == a })
 		return
 	}
-	l := d.link
-	if l.open[j.id] == d {
-		if d.withdrawn {
-			c.counts[withdrawn]++
-		} else if d.begun {
-			l.say("release", string(j.id))
-		} else if !l.gone {
-			l.say("cancel", string(j.id))
-			d.stopped = true
-			c.counts[cancels]++
+	l := a.link
+	if l.attempts[j.id] == a {
+		if a.withdrawn {
+			c.counts[attemptsWithdrawn]++
+		} else if a.resultBegun {
+			l.sendCommand("release", string(j.id))
+		} else if !l.failed {
+			l.sendCommand("cancel", string(j.id))
+			a.stopRequested = true
+			c.counts[cancelsSent]++
 		}
-		c.unlist(d)
+		c.removeFromLink(a)
 	}
 }
 
-// unlist takes an attempt off its connection.
-func (c *Controller) unlist(d *attempt) {
-	l := d.link
-	delete(l.open, d.job.id)
-	l.used = c.now
-	for _, page := range d.pages {
-		c.bytes -= int64(len(page))
+// removeFromLink removes an attempt from its connection.
+func (c *Controller) removeFromLink(a *attempt) {
+	l := a.link
+	delete(l.attempts, a.job.id)
+	l.lastUsed = c.now
+	for _, page := range a.pages {
+		c.jobBytes -= int64(len(page))
 	}
-	if l.stale && len(l.open) == 0 {
-		l.end()
+	if l.retired && len(l.attempts) == 0 {
+		l.closeWhenFlushed()
 	} else if len(l.engine.waiting) > 0 {
-		c.place(l.engine)
+		c.placeWaiting(l.engine)
 	}
-	if len(l.open) == 0 && len(c.short) > 0 {
-		c.makeRoom()
+	if len(l.attempts) == 0 && len(c.descriptorQueue) > 0 {
+		c.freeDescriptors()
 	}
 }
 
-func (c *Controller) timeOut(d *attempt) {
-	if d.job.out != d {
+// attemptTimedOut ends an attempt whose deadline has passed.
+func (c *Controller) attemptTimedOut(a *attempt) {
+	if a.job.inFlight != a {
 		return
 	}
-	if l := d.link; l != nil && l.heard < d.sent {
-		// Guards against a connection to a machine that is cut off, which stays open and silent: whether a new one
-		// comes up tells more than another time-out would. One that is silent alone may only have a slow job.
-		l.mute++
-		l.stale = l.stale || l.mute > 1 || d.engine.heard < d.sent
+	if l := a.link; l != nil && l.lastHeard < a.decidedAt {
+		// A connection to a machine that is cut off stays open and silent. Whether a new one can be opened tells more
+		// than another timeout would. A connection that is silent while others to the engine are not may only have a slow
+		// job.
+		l.timeoutsSinceHeard++
+		l.retired = l.retired || l.timeoutsSinceHeard > 1 || a.engine.lastHeard < a.decidedAt
 	}
-	c.giveUp(d, logic.TimedOut)
+	c.abandonAttempt(a, logic.TimedOut)
 }
 
-// weigh tells the priority of an attempt that is out.
-func (c *Controller) weigh(d *attempt) {
-	if d.link != nil {
-		d.link.say("weigh", string(d.job.id), strconv.Itoa(d.job.priority))
+// sendPriority sends the priority of the job of an attempt in flight to its engine.
+func (c *Controller) sendPriority(a *attempt) {
+	if a.link != nil {
+		a.link.sendCommand("weigh", string(a.job.id), strconv.Itoa(a.job.priority))
 	}
 }
 
-func (c *Controller) engineClosed(l *engineLink) {
-	l.closed()
-	if l.makesRoom {
-		c.making--
+// engineLinkClosed handles the end of an engine connection: what is open on it has lost its connection.
+func (c *Controller) engineLinkClosed(l *engineLink) {
+	l.markClosed()
+	if l.closingForRoom {
+		c.closingForRoom--
 	}
 	e := l.engine
-	e.links = slices.DeleteFunc(e.links, func(o *engineLink) bool { return o == l })
-	if len(l.open) > 0 {
+	e.links = slices.DeleteFunc(e.links, func(other *engineLink) bool { return other == l })
+	if len(l.attempts) > 0 {
 		c.counts[linksLost]++
 	}
-	c.lose(l, logic.ConnectionLost)
+	c.failLink(l, logic.ConnectionLost)
 	l.isClosed = true
-	for _, f := range l.whenClosed {
+	for _, f := range l.onClosed {
 		f()
 	}
-	l.whenClosed = nil
-	c.linkFreed()
+	l.onClosed = nil
+	c.linkReleased()
 }
 
-// lose tells the outcome of all that is open on a connection that serves nothing more.
-func (c *Controller) lose(l *engineLink, o logic.Outcome) {
-	l.gone = true
-	for _, id := range sorted(l.open) {
-		d, o := l.open[id], o
-		d.stopped = true
-		if l.withdraw(d.message) || !l.wrote(d.message) {
-			o = logic.NotSent
+// failLink ends all attempts on a connection that is not used any more, with the given outcome or as not sent.
+func (c *Controller) failLink(l *engineLink, outcome logic.Outcome) {
+	l.failed = true
+	for _, id := range sorted(l.attempts) {
+		a, outcome := l.attempts[id], outcome
+		a.stopRequested = true
+		if l.withdraw(a.messageNumber) || !l.mayHaveSent(a.messageNumber) {
+			outcome = logic.NotSent
 		}
-		c.later(func() { c.over(d, o) })
+		c.runLater(func() { c.finishAttempt(a, outcome) })
 	}
 }
 
-// spoilt guards against an engine's connection whose bytes can't be trusted any more: it is closed, and all that is
-// open on it has failed at once, not at its time-out. The engine itself has answered, so it is not taken for dead.
-func (c *Controller) spoilt(l *engineLink, why error) {
-	if l.gone {
+// closeMalformedLink closes an engine's connection whose input can't be trusted any more. All attempts on it fail at
+// once, not at their timeouts. The engine itself has answered, so it is not considered dead.
+func (c *Controller) closeMalformedLink(l *engineLink, why error) {
+	if l.failed {
 		return
 	}
-	c.counts[enginesMisread]++
-	c.note(slog.LevelDebug, "engine misread", "engine", l.engine.id, "why", why)
-	c.lose(l, logic.Errored)
-	c.closeSoon(l.conn)
+	c.counts[enginesMalformed]++
+	c.logEvent(slog.LevelDebug, "engine misread", "engine", l.engine.id, "why", why)
+	c.failLink(l, logic.Errored)
+	c.closeAsync(l.conn)
 }
 
-// probe asks an engine for its health, on a connection that is up.
+// probe sends a health request to an engine on all open connections.
 func (c *Controller) probe(id logic.EngineID) {
 	e := c.engines[id]
 	tag := "probe-" + strconv.FormatInt(c.counts[probesSent], 10)
 	c.counts[probesSent]++
-	c.probes[tag] = &probe{engine: e, sent: c.now}
-	c.at(c.now+c.cfg.Settings.ConnectTimeout, func() { c.probeOver(tag, logic.TimedOut, noLoad) })
+	c.probes[tag] = &probe{engine: e, sentAt: c.now}
+	c.schedule(c.now+c.cfg.Settings.ConnectTimeout, func() { c.finishProbe(tag, logic.TimedOut, noLoad) })
 	if e == nil || !slices.ContainsFunc(e.links, func(l *engineLink) bool {
-		if !l.stale && !l.gone {
-			l.say("gauges", tag)
+		if !l.retired && !l.failed {
+			l.sendCommand("gauges", tag)
 		}
-		return !l.stale && !l.gone
+		return !l.retired && !l.failed
 	}) {
-		c.probeOver(tag, logic.NoConnection, noLoad)
+		c.finishProbe(tag, logic.NoConnection, noLoad)
 	}
 }
 
-func (c *Controller) probed(tag string, well bool, load logic.Load) {
-	if d := c.fences[tag]; d != nil {
+// probeAnswered handles the answer to a probe or to a fence.
+func (c *Controller) probeAnswered(tag string, healthy bool, load logic.Load) {
+	if a := c.fences[tag]; a != nil {
 		delete(c.fences, tag)
-		c.pass(d)
+		c.releaseFenced(a)
 	}
-	o := logic.Done
-	if !well {
-		o = logic.Errored
+	outcome := logic.Done
+	if !healthy {
+		outcome = logic.Errored
 	}
-	c.probeOver(tag, o, load)
+	c.finishProbe(tag, outcome, load)
 }
 
-func (c *Controller) probeOver(tag string, o logic.Outcome, load logic.Load) {
+// finishProbe reports the outcome of a probe to the module, once.
+func (c *Controller) finishProbe(tag string, outcome logic.Outcome, load logic.Load) {
 	if p := c.probes[tag]; p != nil {
 		delete(c.probes, tag)
 		if p.engine != nil {
-			c.logic.ProbeAnswered(c.now, p.engine.id, o, c.now-p.sent, load)
+			c.logic.ProbeAnswered(c.now, p.engine.id, outcome, c.now-p.sentAt, load)
 		}
 	}
 }
 
-// closeIdle closes connections to an engine that carried nothing for so long.
-func (c *Controller) closeIdle(e *engine, idle time.Duration) {
+// closeIdleLinks closes the connections to an engine that have carried nothing for the given time.
+func (c *Controller) closeIdleLinks(e *engine, idle time.Duration) {
 	if e == nil {
 		return
 	}
 	for _, l := range e.links {
-		if len(l.open) == 0 && !l.gone && c.now-l.used >= idle {
+		if len(l.attempts) == 0 && !l.failed && c.now-l.lastUsed >= idle {
 			c.trace("engine closed", "idle", "engine", e.id)
-			l.stale = true
-			l.end()
+			l.retired = true
+			l.closeWhenFlushed()
 		}
 	}
 }
 
-// halfAnswer is for the rest of an answer that has begun, or the next page of a result: many trips, little against
-// a job.
-const halfAnswer = 400 * time.Millisecond
+// maxAnswerGap bounds the wait for the rest of an answer that has begun, or for the next page of a result: many round
+// trips, and short compared with a job.
+const maxAnswerGap = 400 * time.Millisecond
 
-// sweepLinks guards against answers that break off on a connection that stays open.
+// sweepLinks closes connections that stay open although an answer on them has broken off.
 func (c *Controller) sweepLinks(e *engine) {
 	for _, l := range e.links {
-		stopped := l.halfSince(c.now) > halfAnswer
-		for _, d := range l.open {
-			stopped = stopped || d.begun && c.now-d.paged > halfAnswer
+		broken := l.partialAge(c.now) > maxAnswerGap
+		for _, a := range l.attempts {
+			broken = broken || a.resultBegun && c.now-a.lastPageAt > maxAnswerGap
 		}
-		if stopped {
-			c.spoilt(l, errStopped)
+		if broken {
+			c.closeMalformedLink(l, errIncompleteAnswer)
 		}
 	}
 }
 
-// sweepEngines closes connections at four fifths of the time after which the engine would, as what is sent
-// while it closes would be lost, and forgets engines that are gone.
+// sweepEngines closes connections at four fifths of the time after which the engine would close them, because what is
+// sent while the engine closes would be lost. It also forgets engines that are gone.
 func (c *Controller) sweepEngines() {
-	for _, id := range sorted(c.used) {
-		e := c.used[id]
+	for _, id := range sorted(c.activeEngines) {
+		e := c.activeEngines[id]
 		c.sweepLinks(e)
 		if idle := c.cfg.Settings.IdleClose; idle > 0 {
-			c.closeIdle(e, idle*4/5)
+			c.closeIdleLinks(e, idle*4/5)
 		}
 		if e.state == logic.Gone {
-			c.closeIdle(e, 0)
+			c.closeIdleLinks(e, 0)
 		}
 		if len(e.links) == 0 && len(e.waiting) == 0 && len(e.dials) == 0 {
-			delete(c.used, id)
-			c.forgetGone(e)
+			delete(c.activeEngines, id)
+			c.forgetGoneEngine(e)
 		}
 	}
 }
 
-// forgetGone forgets an engine that is gone and has nothing open.
-func (c *Controller) forgetGone(e *engine) {
+// forgetGoneEngine forgets an engine that is gone and has nothing open.
+func (c *Controller) forgetGoneEngine(e *engine) {
 	if e.state != logic.Gone || c.engines[e.id] != e {
 		return
 	}
 	delete(c.engines, e.id)
-	if c.byAddress[e.address] == e {
-		delete(c.byAddress, e.address)
+	if c.engineByAddress[e.address] == e {
+		delete(c.engineByAddress, e.address)
 	}
 }
--- a/controller/faults.go
+++ b/controller/faults.go
@@ -11,118 +11,121 @@
 	"yarrowbarrow/logic"
 )
 
-// A fault in this program fails what is open, never the process: clients are owed their answers, and what a fault has spoilt is begun
-// anew. Where faults keep coming back, no job is taken for a while; those that come are told when to come back.
+// A panic fails the open jobs, never the process: clients are owed their answers, and the state that a panic may have
+// corrupted is rebuilt. Where panics keep recurring, no job is accepted for a while; jobs that arrive are told when to
+// come back.
 const (
-	mostPanics  = 3                // within panicWindow, as a single faulty job may be sent again by its client twice
-	panicWindow = 10 * time.Second // also for how many stacks are logged
-	idlePause   = time.Second
+	maxPanics   = 3                // within panicWindow; a client may resend a single faulty job twice
+	panicWindow = 10 * time.Second // also limits how many stacks are logged
+	pauseLength = time.Second
 )
 
-// aside runs f on a goroutine of its own. A fault in it is counted and logged.
-func (c *Controller) aside(f func()) {
+// spawn runs f on a goroutine of its own. A panic in it is counted and logged.
+func (c *Controller) spawn(f func()) {
 	go func() {
-		defer c.caught()
+		defer c.recoverPanic()
 		f()
 	}()
 }
 
-// caught is to be deferred by what runs without the lock.
-func (c *Controller) caught() {
-	if why := recover(); why != nil {
+// recoverPanic is deferred by code that runs without the lock.
+func (c *Controller) recoverPanic() {
+	if panicValue := recover(); panicValue != nil {
 		stack := string(debug.Stack())
-		c.do(func() { c.notePanic(why, stack) })
+		c.withLock(func() { c.recordPanic(panicValue, stack) })
 	}
 }
 
-// guarded runs f under the lock.
-func (c *Controller) guarded(f func()) {
+// runGuarded runs f under the lock.
+func (c *Controller) runGuarded(f func()) {
 	defer func() {
-		if why := recover(); why != nil {
-			c.broke(why)
+		if panicValue := recover(); panicValue != nil {
+			c.handlePanic(panicValue)
 		}
 	}()
 	f()
 }
 
-// notePanic counts and logs a fault, and tells whether they keep coming back.
-func (c *Controller) notePanic(why any, stack string) (again bool) {
-	c.counts[panicked]++
-	c.panics = append(c.panics, c.now)
-	if over := len(c.panics) - mostPanics - 1; over > 0 {
-		c.panics = c.panics[over:]
+// recordPanic counts and logs a panic, and reports whether panics keep recurring.
+func (c *Controller) recordPanic(panicValue any, stack string) (recurring bool) {
+	c.counts[panicsCaught]++
+	c.recentPanics = append(c.recentPanics, c.now)
+	if excess := len(c.recentPanics) - maxPanics - 1; excess > 0 {
+		c.recentPanics = c.recentPanics[excess:]
 	}
-	again = len(c.panics) > mostPanics && c.now-c.panics[0] < panicWindow
-	if !again || !c.idles {
-		c.note(slog.LevelError, "panic", "why", fmt.Sprint(why), "stack", stack)
+	recurring = len(c.recentPanics) > maxPanics && c.now-c.recentPanics[0] < panicWindow
+	if !recurring || !c.paused {
+		c.logEvent(slog.LevelError, "panic", "why", fmt.Sprint(panicValue), "stack", stack)
 	}
-	return again
+	return recurring
 }
 
-// broke guards against a fault in the module or in the code round it. What the module held can't be trusted any more, so all jobs
-// are failed and a new module begins, like a restart that keeps the sockets.
-func (c *Controller) broke(why any) {
-	again := c.notePanic(why, string(debug.Stack()))
-	c.queue = nil
+// handlePanic handles a panic in the module or in the code around it. The module's state can't be trusted any more, so
+// all jobs are failed and a new module starts, like a restart that keeps the sockets.
+func (c *Controller) handlePanic(panicValue any) {
+	recurring := c.recordPanic(panicValue, string(debug.Stack()))
+	c.pendingCalls = nil
 	for _, id := range sorted(c.jobs) {
-		c.survive(func() { c.endJob(c.jobs[id]) })
+		c.tryRun(func() { c.discardJob(c.jobs[id]) })
 	}
-	if again || !c.survive(c.begin) {
-		c.idle()
+	if recurring || !c.tryRun(c.restartModule) {
+		c.pause()
 	}
 }
 
-// survive runs what follows a fault, and tells whether it came to its end.
-func (c *Controller) survive(f func()) (well bool) {
+// tryRun runs code that follows a panic, and reports whether it finished without another one.
+func (c *Controller) tryRun(f func()) (ok bool) {
 	defer func() {
-		if why := recover(); why != nil {
-			c.notePanic(why, string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil {
+			c.recordPanic(panicValue, string(debug.Stack()))
 		}
 	}()
 	f()
 	return true
 }
 
-func (c *Controller) endJob(j *job) {
-	defer c.forget(j)
+// discardJob fails a job and ends its attempt without telling the module.
+func (c *Controller) discardJob(j *job) {
+	defer c.forgetJob(j)
 	c.failJob(j)
-	d := j.out
-	if j.out = nil; d != nil {
-		c.letGo(d)
+	a := j.inFlight
+	if j.inFlight = nil; a != nil {
+		c.releaseAttempt(a)
 	}
 }
 
-// idle takes no job for a pause, and tries a new module then.
-func (c *Controller) idle() {
-	if c.idles {
+// pause stops accepting jobs for a while; after that a new module is tried.
+func (c *Controller) pause() {
+	if c.paused {
 		return
 	}
-	c.idles = true
-	c.note(slog.LevelError, "no job is taken for now", "why", "panics keep coming back", "pause", idlePause)
-	c.at(c.now+idlePause, c.idleOver)
+	c.paused = true
+	c.logEvent(slog.LevelError, "no job is taken for now", "why", "panics keep recurring", "pause", pauseLength)
+	c.schedule(c.now+pauseLength, c.endPause)
 }
 
-func (c *Controller) idleOver() {
-	if !c.survive(c.begin) {
-		c.at(c.now+idlePause, c.idleOver)
+// endPause accepts jobs again once a new module has started.
+func (c *Controller) endPause() {
+	if !c.tryRun(c.restartModule) {
+		c.schedule(c.now+pauseLength, c.endPause)
 		return
 	}
-	c.idles = false
-	c.note(slog.LevelInfo, "jobs are taken again")
+	c.paused = false
+	c.logEvent(slog.LevelInfo, "jobs are taken again")
 }
 
-// begin has a new module, and a new router of the same routes, learn what is known.
-func (c *Controller) begin() {
-	c.logic = c.module(host{c}, c.cfg.Settings.Logic, c.cfg.Seed+c.counts[panicked])
+// restartModule creates a new module, and a new router with the same routes, and tells them what is known.
+func (c *Controller) restartModule() {
+	c.logic = c.newModule(host{c}, c.cfg.Settings.Logic, c.cfg.Seed+c.counts[panicsCaught])
 	if c.router != nil {
 		c.router = nil
-		c.adopt(c.plan, route.NewTable(c.plan, nil))
+		c.adoptRoutes(c.plan, route.NewTable(c.plan, nil))
 		c.router.ListEnds(c.now)
 	}
 	c.logic.ListBegins(c.now, logic.ListRemembered)
 	for _, id := range sorted(c.engines) {
 		e := c.engines[id]
-		c.logic.EngineListed(c.now, e.id, e.location, e.kind, e.cell, e.state, e.weight, e.started)
+		c.logic.EngineListed(c.now, e.id, e.location, e.kind, e.cell, e.state, e.weight, e.startedAt)
 	}
 	c.logic.ListEnds(c.now)
 	if c.exit != nil {
@@ -130,11 +133,11 @@
 	}
 }
 
-// readGuarded reads a configuration. A fault in its reading is one of the configuration.
-func readGuarded(read func() (config.Config, error)) (next config.Config, err error) {
+// readConfigGuarded reads a configuration. A panic while reading it is returned as an error.
+func readConfigGuarded(read func() (config.Config, error)) (cfg config.Config, err error) {
 	defer func() {
-		if why := recover(); why != nil {
-			err = fmt.Errorf("configuration: panic: %v", why)
+		if panicValue := recover(); panicValue != nil {
+			err = fmt.Errorf("configuration: panic: %v", panicValue)
 		}
 	}()
 	return read()
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -12,7 +12,7 @@
 	"yarrowbarrow/logic"
 )
 
-// faultyModule panics where it is told to.
+// faultyModule panics in JobTaken while jobs is set.
 type faultyModule struct {
 	logic.Module
 	jobs *atomic.Bool
@@ -26,77 +26,77 @@
 	m.Module.JobTaken(now, id, name, customer, key, expires, cost, memory, tables, repeat, place)
 }
 
-// TestPanicsThatKeepComingEndProcess: however often the module panics, each job is answered and the process goes on; once the module
-// is well it serves.
+// TestPanicsThatKeepComingEndProcess: however often the module panics, each job is answered and the process continues.
+// Once the module works again, jobs are served.
 func TestPanicsThatKeepComingEndProcess(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
+	e := newFakeEngine(t, "127.0.0.1:0")
 	var faultyJobs, faultyBegin atomic.Bool
 	b := startPrepared(t, "", nil, func(c *Controller) {
-		module := c.module
-		c.module = func(h logic.Host, s logic.Settings, seed int64) logic.Module {
+		module := c.newModule
+		c.newModule = func(h logic.Host, s logic.Settings, seed int64) logic.Module {
 			if faultyBegin.Load() {
 				panic("for the test")
 			}
 			return faultyModule{module(h, s, seed), &faultyJobs}
 		}
 	}, e)
-	k := b.client()
+	cl := b.connect()
 	faultyJobs.Store(true)
-	for n := range uint32(mostPanics + 1) {
-		k.quick(n+1, "2000")
-		k.gets(frame.Answer, n+1, frame.Failed, "")
+	for n := range uint32(maxPanics + 1) {
+		cl.sendQuickJob(n+1, "2000")
+		cl.expectFrame(frame.Answer, n+1, frame.Failed, "")
 	}
 	faultyBegin.Store(true)
-	k.quick(90, "2000")
-	k.gets(frame.Answer, 90, frame.Rejected, "")
-	k.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
-	k.gets(frame.IsReady, 901, 2, "")
-	b.until(func() bool { return b.c.counts[panicked] >= mostPanics+3 }) // begun in vain
+	cl.sendQuickJob(90, "2000")
+	cl.expectFrame(frame.Answer, 90, frame.Rejected, "")
+	cl.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
+	cl.expectFrame(frame.IsReady, 901, 2, "")
+	b.waitUntil(func() bool { return b.c.counts[panicsCaught] >= maxPanics+3 }) // restarts that failed
 	faultyBegin.Store(false)
 	faultyJobs.Store(false)
-	b.until(func() bool { return !b.c.idles })
-	k.quick(91, "2000")
-	e.hears("serve").answer("HIT", "count=1", rowB)
-	k.gets(frame.Answer, 91, frame.Done, rowB)
+	b.waitUntil(func() bool { return !b.c.paused })
+	cl.sendQuickJob(91, "2000")
+	e.expectCommand("serve").answer("HIT", "count=1", rowB)
+	cl.expectFrame(frame.Answer, 91, frame.Done, rowB)
 }
 
-// TestPanicInWriterEndsProcess: a fault in a connection's writer ends that connection alone.
+// TestPanicInWriterEndsProcess: a panic in a connection's writer closes only that connection.
 func TestPanicInWriterEndsProcess(t *testing.T) {
 	var faulty atomic.Bool
 	b := startPrepared(t, "", nil, func(c *Controller) {
-		flush := c.system.flush
-		c.system.flush = func(conn netpoll.Connection) error {
-			if conn.RemoteAddr() == nil && faulty.CompareAndSwap(true, false) { // a client's
+		flush := c.sys.flush
+		c.sys.flush = func(conn netpoll.Connection) error {
+			if conn.RemoteAddr() == nil && faulty.CompareAndSwap(true, false) { // a client connection
 				panic("for the test")
 			}
 			return flush(conn)
 		}
 	})
-	k, other := b.client(), b.client()
+	cl, other := b.connect(), b.connect()
 	faulty.Store(true)
-	k.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
-	k.closes()
-	other.ready()
-	b.until(func() bool { return b.c.counts[panicked] == 1 })
+	cl.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
+	cl.expectClosed()
+	other.expectReady()
+	b.waitUntil(func() bool { return b.c.counts[panicsCaught] == 1 })
 }
 
-// TestPanicInReloadEndsProcess: a fault in the reading of a configuration is one of the configuration.
+// TestPanicInReloadEndsProcess: a panic while reading a configuration is an error of that configuration.
 func TestPanicInReloadEndsProcess(t *testing.T) {
-	b := start(t, "")
+	b := startController(t, "")
 	if err := b.c.Reload(func() (config.Config, error) { panic("for the test") }); err == nil {
-		t.Error("taken")
+		t.Error("invalid configuration accepted")
 	}
-	b.client().ready()
+	b.connect().expectReady()
 }
 
-// TestSweepsGoOnAfterPanic: what looks after idle connections does not end with a fault.
+// TestSweepsGoOnAfterPanic: a panic does not end the sweeps that close idle connections.
 func TestSweepsGoOnAfterPanic(t *testing.T) {
-	b := start(t, "")
-	b.client()
-	b.c.do(func() { b.c.admission = nil })
-	b.until(func() bool { return b.c.counts[panicked] > 0 })
-	b.c.do(func() { b.c.admission = newAdmission(b.c) })
+	b := startController(t, "")
+	b.connect()
+	b.c.withLock(func() { b.c.admission = nil })
+	b.waitUntil(func() bool { return b.c.counts[panicsCaught] > 0 })
+	b.c.withLock(func() { b.c.admission = newAdmission(b.c) })
 	var before time.Duration
-	b.c.do(func() { before, b.c.logged = b.c.logged, 0 })
-	b.until(func() bool { return b.c.logged > before })
+	b.c.withLock(func() { before, b.c.countersLoggedAt = b.c.countersLoggedAt, 0 })
+	b.waitUntil(func() bool { return b.c.countersLoggedAt > before })
 }
--- a/controller/flush.go
+++ b/controller/flush.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// A write that fails for want of something in this system, or as a signal came, is tried again after a pause that grows: closing
-// the connection would lose what is to be answered on it. What is for a client may wait about as long as clients do; an attempt
-// may not leave late, and has to be known as over soon.
+// A write that fails for lack of a resource in this system, or was interrupted by a signal, is retried after a pause that
+// grows: closing the connection would lose the answers that are due on it. Output to a client may wait about as long as
+// clients do; an attempt must not be sent late and has to be reported as over soon.
 const (
-	leastFlushPause = time.Millisecond
-	mostFlushPause  = 50 * time.Millisecond
-	clientFlush     = 2 * time.Second
-	engineFlush     = 50 * time.Millisecond
+	minFlushPause     = time.Millisecond
+	maxFlushPause     = 50 * time.Millisecond
+	clientFlushBudget = 2 * time.Second
+	engineFlushBudget = 50 * time.Millisecond
 )
 
-// writeTimeout is for one flush: a peer that takes nothing for so long would not read its answers in time.
+// writeTimeout bounds one flush: a peer that reads nothing for so long would not read its answers in time.
 const writeTimeout = 5 * time.Second
 
-// flush hands all that netpoll holds of this connection to the socket. netpoll's own time limit for that is not used: as it passes,
-// netpoll asks for the address of the peer, which an accepted connection made of a descriptor does not have.
+// flush writes everything that netpoll holds for this connection to the socket. netpoll's own write timeout is not used:
+// when it expires, netpoll asks for the peer's address, which an accepted connection made from a descriptor does not
+// have.
 func (l *link) flush() error {
-	l.overdue.Reset(writeTimeout)
-	defer l.overdue.Stop()
-	most := engineFlush
-	if l.shut {
-		most = clientFlush
+	l.writeTimer.Reset(writeTimeout)
+	defer l.writeTimer.Stop()
+	budget := engineFlushBudget
+	if l.gracefulClose {
+		budget = clientFlushBudget
 	}
-	for pause, waited := leastFlushPause, time.Duration(0); ; pause = min(2*pause, mostFlushPause) {
-		err := l.c.system.flush(l.conn)
-		if err == nil || !isPassing(err) || waited >= most {
+	for pause, waited := minFlushPause, time.Duration(0); ; pause = min(2*pause, maxFlushPause) {
+		err := l.c.sys.flush(l.conn)
+		if err == nil || !isTransient(err) || waited >= budget {
 			return err
 		}
-		l.c.do(func() {
-			l.c.counts[writesAgain]++
+		l.c.withLock(func() {
+			l.c.counts[writesRetried]++
 			l.c.trace("write again", reason(err.Error()), "pause", pause)
 		})
 		time.Sleep(pause)
@@ -42,7 +43,7 @@
 	}
 }
 
-// isPassing tells an error of sendmsg(2) that says nothing about the connection.
-func isPassing(err error) bool {
+// isTransient reports whether an error of sendmsg(2) says nothing about the connection.
+func isTransient(err error) bool {
 	return errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
--- a/controller/guard.go
+++ b/controller/guard.go
@@ -9,28 +9,29 @@
 	"yarrowbarrow/logic"
 )
 
-// The guard is the one place where what the controller is about to do, or has done, is held against decide/invariant. A
-// violation is counted and logged with the ids that it is about; where it can still be stopped, it is.
+// This file is the only place where the controller's actions, before or after they happen, are checked against
+// decide/invariant. A violation is counted and logged with the ids involved; where the action can still be stopped, it
+// is.
 
-// violated counts and logs a violation, and tells whether it was one.
-func (c *Controller) violated(v invariant.Violation, values ...any) bool {
+// reportViolation counts and logs a violation, and reports whether there was one.
+func (c *Controller) reportViolation(v invariant.Violation, values ...any) bool {
 	if v == invariant.None {
 		return false
 	}
 	c.violations[v]++
-	c.note(slog.LevelError, "invariant violated", append([]any{"what", v.String()}, values...)...)
+	c.logEvent(slog.LevelError, "invariant violated", append([]any{"what", v.String()}, values...)...)
 	return true
 }
 
-// mayAttempt is asked before each attempt, the first and all further ones.
+// mayAttempt is called before each attempt, the first and all further ones.
 func (c *Controller) mayAttempt(j *job, to *engine) bool {
-	class := c.classOf([]byte(j.name))
-	if class == nil || c.unguarded {
+	class := c.classNamed([]byte(j.class))
+	if class == nil || c.checksDisabled {
 		return true
 	}
-	r := invariant.Repeat{Now: c.now, Out: j.out != nil, Ran: j.ran, Window: class.Window, To: placeOf(to), Effect: effectOf(class),
+	repeat := invariant.Repeat{Now: c.now, Out: j.inFlight != nil, Ran: j.mayHaveRun, Window: class.Window, To: placeOf(to), Effect: effectOf(class),
 		Group: groupOf(class)}
-	return !c.violated(r.Check(), "job", j.id, "engine", to.id, "attempts", j.sent)
+	return !c.reportViolation(repeat.Check(), "job", j.id, "engine", to.id, "attempts", j.attempts)
 }
 
 func effectOf(class *logic.Class) invariant.Effect {
@@ -57,91 +58,92 @@
 	return invariant.Place{Location: string(e.location), Cell: int64(e.cell)}
 }
 
-// attemptEnded keeps whether an attempt may have run, and looks at when it left.
-func (c *Controller) attemptEnded(d *attempt, o logic.Outcome) {
-	if o != logic.TurnedAway && o != logic.NoConnection && o != logic.NotSent {
-		d.job.ran = append(d.job.ran, invariant.Ran{Sent: d.sent, At: placeOf(d.engine)})
+// checkEndedAttempt records whether an attempt may have run, and checks the time at which it was sent.
+func (c *Controller) checkEndedAttempt(a *attempt, outcome logic.Outcome) {
+	if outcome != logic.TurnedAway && outcome != logic.NoConnection && outcome != logic.NotSent {
+		a.job.mayHaveRun = append(a.job.mayHaveRun, invariant.Ran{Sent: a.decidedAt, At: placeOf(a.engine)})
 	}
-	left := time.Duration(d.left.Load())
-	if left == 0 || c.unguarded {
+	sentAt := time.Duration(a.firstByteAt.Load())
+	if sentAt == 0 || c.checksDisabled {
 		return
 	}
-	s := invariant.Send{Left: left, ClientGone: d.job.clientGone, Drained: d.engine.drained, Grace: c.cfg.Settings.DrainGrace,
-		Deadline: d.until}
-	if s.Grace == 0 { // drains are not told here
-		s.Drained = 0
+	send := invariant.Send{Left: sentAt, ClientGone: a.job.clientGoneAt, Drained: a.engine.drainingSince, Grace: c.cfg.Settings.DrainGrace,
+		Deadline: a.deadline}
+	if send.Grace == 0 { // without a grace period discovery reports no drains here
+		send.Drained = 0
 	}
-	c.violated(s.Check(), "job", d.job.id, "attempt", d.n, "engine", d.engine.id, "left", left, "now", c.now)
+	c.reportViolation(send.Check(), "job", a.job.id, "attempt", a.number, "engine", a.engine.id, "left", sentAt, "now", c.now)
 }
 
 // reason is why something was done, for the log: each close, further attempt and refusal has one.
 type reason string
 
-// trace writes a line of what happens to a job, a connection or an engine, where the log is at level debug.
+// trace logs an event of a job, a connection or an engine at level debug.
 func (c *Controller) trace(event string, why reason, values ...any) {
 	if c.tracing {
-		c.note(slog.LevelDebug, event, append([]any{"why", string(why)}, values...)...)
+		c.logEvent(slog.LevelDebug, event, append([]any{"why", string(why)}, values...)...)
 	}
 }
 
-func debugs(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
+// debugEnabled reports whether the log is at level debug.
+func debugEnabled(log *slog.Logger) bool { return log.Enabled(context.Background(), slog.LevelDebug) }
 
-// standstill is that the process did not run, or ran behind, for some time.
-type standstill struct {
-	noticed time.Duration // when, by the controller's clock; 0 for never
-	length  time.Duration // at most: since something last happened before
+// stall is a time in which the process did not run, or lagged behind.
+type stall struct {
+	noticedAt time.Duration // when it was noticed, by the controller's clock; 0 for never
+	length    time.Duration // upper bound: the time since the event before it
 }
 
-// After a standstill what others sent meanwhile is read within mostCatchUp, on a busy machine too; a long list on a slow core
-// within longestRead.
+// After a stall, input that arrived meanwhile is read within stallCatchUp, also on a busy machine; a long engine list on
+// a slow core within maxListRead.
 const (
-	mostCatchUp = 100 * time.Millisecond
-	longestRead = time.Second
+	stallCatchUp = 100 * time.Millisecond
+	maxListRead  = time.Second
 )
 
-// noticeStandstill is called first whenever anything happens, with when something last did: an alarm that is long due tells that
-// nothing ran since. A shorter one right after does not hide a longer one.
-func (c *Controller) noticeStandstill(before time.Duration) {
+// detectStall is called first on every event, with the time of the previous event: a timer that is long overdue shows
+// that nothing ran since. A shorter stall right after a longer one does not replace it.
+func (c *Controller) detectStall(previous time.Duration) {
 	if len(c.timers) == 0 {
 		return
 	}
-	late := c.now - c.timers[0].at
-	length := max(c.now-before, late)
-	if late <= lateAnswer || c.catchesUp() && length <= c.stood.length {
+	overdue := c.now - c.timers[0].dueAt
+	length := max(c.now-previous, overdue)
+	if overdue <= lateThreshold || c.catchingUp() && length <= c.lastStall.length {
 		return
 	}
-	c.stood = standstill{c.now, length}
-	if c.newsSince == 0 {
-		c.newsSince = c.now - length
+	c.lastStall = stall{c.now, length}
+	if c.discoveryUnreadSince == 0 {
+		c.discoveryUnreadSince = c.now - length
 	}
-	c.counts[standstills]++
-	c.longest = max(c.longest, late)
-	c.trace("standstill", "alarms are late", "by", late)
+	c.counts[stallsNoticed]++
+	c.longestStall = max(c.longestStall, overdue)
+	c.trace("standstill", "timers are late", "by", overdue)
 }
 
-// catchesUp tells that what came in a standstill may not be read yet.
-func (c *Controller) catchesUp() bool {
-	return c.stood.noticed > 0 && c.now-c.stood.noticed < mostCatchUp
+// catchingUp reports whether input that arrived during a stall may still be unread.
+func (c *Controller) catchingUp() bool {
+	return c.lastStall.noticedAt > 0 && c.now-c.lastStall.noticedAt < stallCatchUp
 }
 
-// age is how old at most a message or a signal is that is taken now: it may have come at the begin of a standstill. Where the
-// process keeps up it is 0.
-func (c *Controller) age() time.Duration {
-	if c.catchesUp() {
-		return c.stood.length
+// maxInputAge is the maximum age of a message or signal that is handled now: it may have arrived at the beginning of a
+// stall. Without a stall it is 0.
+func (c *Controller) maxInputAge() time.Duration {
+	if c.catchingUp() {
+		return c.lastStall.length
 	}
 	return 0
 }
 
-// listUnread tells that discovery has said something that was not read to its end since the process stood still, and that may be
-// half as old as the grace: engines may have left.
-func (c *Controller) listUnread() bool {
-	if c.newsSince == 0 {
+// discoveryUnread reports whether input of discovery that arrived during a stall is still unread and may be older than
+// half of the drain grace: engines may have left.
+func (c *Controller) discoveryUnread() bool {
+	if c.discoveryUnreadSince == 0 {
 		return false
 	}
-	if c.now >= c.stood.noticed+longestRead || !c.discovery.unread() {
-		c.newsSince = 0
+	if c.now >= c.lastStall.noticedAt+maxListRead || !c.discovery.hasUnread() {
+		c.discoveryUnreadSince = 0
 		return false
 	}
-	return c.now-c.newsSince > c.cfg.Settings.DrainGrace/2
+	return c.now-c.discoveryUnreadSince > c.cfg.Settings.DrainGrace/2
 }
--- a/controller/host.go
+++ b/controller/host.go
@@ -9,7 +9,7 @@
 	"yarrowbarrow/logic"
 )
 
-// host carries out the module's decisions. All is called under the lock, and none of it calls the module.
+// host carries out the module's decisions. All methods are called under the lock, and none of them calls the module.
 type host struct{ c *Controller }
 
 func (h host) Attempt(id logic.JobID, to logic.EngineID, timeout, within time.Duration) {
@@ -17,92 +17,95 @@
 	if j == nil {
 		return
 	}
-	d := &attempt{job: j, n: j.sent, engine: c.engines[to], sent: c.now,
-		until: min(c.now+timeout, j.expires), load: noLoad}
-	d.last = min(c.now+within, d.until)
-	if d.engine == nil {
-		d.engine = &engine{id: to}
+	a := &attempt{job: j, number: j.attempts, engine: c.engines[to], decidedAt: c.now,
+		deadline: min(c.now+timeout, j.deadline), load: noLoad}
+	a.sendBy = min(c.now+within, a.deadline)
+	if a.engine == nil {
+		a.engine = &engine{id: to}
 	}
-	barred := !c.mayAttempt(j, d.engine)
-	j.sent++
-	j.out = d
-	c.counts[attempted]++
+	forbidden := !c.mayAttempt(j, a.engine)
+	j.attempts++
+	j.inFlight = a
+	c.counts[attemptsDecided]++
 	if c.router != nil {
 		c.router.Attempted(c.now, route.JobID(id))
 	}
-	if j.sent > 1 {
-		c.trace("further attempt", "decided", "job", j.id, "attempt", d.n, "engine", to)
+	if j.attempts > 1 {
+		c.trace("further attempt", "decided", "job", j.id, "attempt", a.number, "engine", to)
 	}
-	if c.now >= d.last || j.client == nil || barred {
-		c.later(func() { c.over(d, logic.NotSent) })
+	if c.now >= a.sendBy || j.client == nil || forbidden {
+		c.runLater(func() { c.finishAttempt(a, logic.NotSent) })
 		return
 	}
-	if p := j.last; p != nil && p.stopped {
-		d.fenced = true
-		c.fence(p, d)
+	if previous := j.lastSent; previous != nil && previous.stopRequested {
+		a.fenced = true
+		c.fence(previous, a)
 	} else {
-		c.send(d)
+		c.sendAttempt(a)
 	}
-	if d.last < d.until {
-		c.at(d.last, func() { c.takeBack(d) })
+	if a.sendBy < a.deadline {
+		c.schedule(a.sendBy, func() { c.withdrawAttempt(a) })
 	}
-	c.at(d.until, func() { c.timeOut(d) })
+	c.schedule(a.deadline, func() { c.attemptTimedOut(a) })
 }
 
 func (h host) SetTerms(id logic.JobID, memoryMB float64, priority int) {
 	if j := h.c.jobs[id]; j != nil {
 		j.memoryMB, j.priority = int64(math.Ceil(memoryMB)), priority
-		if j.out != nil {
-			h.c.weigh(j.out)
+		if j.inFlight != nil {
+			h.c.sendPriority(j.inFlight)
 		}
 	}
 }
 
-func (h host) Recall(id logic.JobID, n int) {
-	if j := h.c.jobs[id]; j != nil && j.out != nil && j.out.n == n {
-		d := j.out
-		h.c.later(func() { h.c.giveUp(d, logic.Recalled) })
+func (h host) Recall(id logic.JobID, number int) {
+	if j := h.c.jobs[id]; j != nil && j.inFlight != nil && j.inFlight.number == number {
+		a := j.inFlight
+		h.c.runLater(func() { h.c.abandonAttempt(a, logic.Recalled) })
 	}
 }
 
-func (h host) Reject(id logic.JobID, comeBack time.Duration) {
+func (h host) Reject(id logic.JobID, retryAfter time.Duration) {
 	if j := h.c.jobs[id]; j != nil {
-		h.c.trace("rejected", "decided", "job", id, "attempts", j.sent, "back_in", comeBack)
-		h.c.reject(j, comeBack)
-		h.ended(j)
+		h.c.trace("rejected", "decided", "job", id, "attempts", j.attempts, "back_in", retryAfter)
+		h.c.rejectJob(j, retryAfter)
+		h.forgetIfIdle(j)
 	}
 }
 
 func (h host) Fail(id logic.JobID) {
 	if j := h.c.jobs[id]; j != nil {
-		h.c.trace("failed", "decided", "job", id, "attempts", j.sent)
+		h.c.trace("failed", "decided", "job", id, "attempts", j.attempts)
 		h.c.failJob(j)
-		h.ended(j)
+		h.forgetIfIdle(j)
 	}
 }
 
-func (h host) ended(j *job) {
-	if j.out == nil {
-		h.c.forget(j)
+// forgetIfIdle forgets an answered job unless an attempt of it is still in flight.
+func (h host) forgetIfIdle(j *job) {
+	if j.inFlight == nil {
+		h.c.forgetJob(j)
 	}
 }
 
-func (h host) WakeAfter(t logic.TimerID, in time.Duration) {
-	h.c.at(h.c.now+in, func() { h.c.logic.TimerDue(h.c.now, t) })
+func (h host) WakeAfter(timer logic.TimerID, delay time.Duration) {
+	h.c.schedule(h.c.now+delay, func() { h.c.logic.TimerDue(h.c.now, timer) })
 }
 
-func (h host) Follow(on bool)              { h.c.later(func() { h.c.discovery.follow(on) }) }
-func (h host) FetchList()                  { h.c.later(h.c.discovery.anew) }
-func (h host) Probe(id logic.EngineID)     { h.c.later(func() { h.c.probe(id) }) }
-func (h host) CloseIdle(id logic.EngineID) { h.c.later(func() { h.c.closeIdle(h.c.engines[id], 0) }) }
+func (h host) Follow(on bool)          { h.c.runLater(func() { h.c.discovery.setFollowing(on) }) }
+func (h host) FetchList()              { h.c.runLater(h.c.discovery.refetch) }
+func (h host) Probe(id logic.EngineID) { h.c.runLater(func() { h.c.probe(id) }) }
+func (h host) CloseIdle(id logic.EngineID) {
+	h.c.runLater(func() { h.c.closeIdleLinks(h.c.engines[id], 0) })
+}
 
-// TellPeer says nothing: this network gives controllers no way to talk to each other.
-func (h host) TellPeer(logic.PeerID, string) { h.c.counts[peerUnsaid]++ }
+// TellPeer only counts: this network gives controllers no way to talk to each other.
+func (h host) TellPeer(logic.PeerID, string) { h.c.counts[peerMessagesDropped]++ }
 
 func (h host) Suspects(id logic.EngineID, suspected bool) {
 	if r := h.c.router; r != nil {
-		h.c.later(func() { r.EngineSuspected(h.c.now, route.EngineID(id), suspected) })
+		h.c.runLater(func() { r.EngineSuspected(h.c.now, route.EngineID(id), suspected) })
 	}
 }
 
-func (h host) Log(line string) { h.c.note(slog.LevelInfo, "module", "says", line) }
+func (h host) Log(line string) { h.c.logEvent(slog.LevelInfo, "module", "says", line) }
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -12,263 +12,271 @@
 	"yarrowbarrow/logic"
 )
 
-// job is a job taken, until it is answered and nothing of it is out.
+// job is an accepted job. It is kept until it is answered and none of its attempts is in flight.
 type job struct {
-	id         logic.JobID
-	client     *client // nil once the job is over
-	stream     uint32
-	name       logic.ClassName
-	once       string
-	statement  []byte
-	taken      time.Duration
-	expires    time.Duration
-	memoryMB   int64
-	priority   int
-	place      logic.Placement // by the operators' routes, or nil
-	sent       int
-	out        *attempt
-	last       *attempt // that was on a connection
-	ran        []invariant.Ran
-	clientGone time.Duration // when its client was known to have gone, 0 for not
-	on         []*engineLink // its id is used there no more, as a late answer of one attempt is none of another
+	id             logic.JobID
+	client         *client // nil once the job is answered or its client is gone
+	stream         uint32
+	class          logic.ClassName
+	idempotencyKey string // the key by which engines recognize a repeat, or empty
+	statement      []byte
+	acceptedAt     time.Duration // by the controller's clock
+	deadline       time.Duration // when the answer must be sent, by the same clock; 0 for a job that was refused on arrival
+	memoryMB       int64
+	priority       int
+	placement      logic.Placement // assigned by the operators' routes, or nil
+	attempts       int             // number of attempts decided so far
+	inFlight       *attempt        // the current attempt, or nil
+	lastSent       *attempt        // the last attempt that was put on a connection
+	mayHaveRun     []invariant.Ran // ended attempts that may have run
+	// when the client was known to be gone, 0 if it is not
+	clientGoneAt time.Duration
+	// Connections that have carried the job's id. They are not used for it again, so that a late answer to one attempt is
+	// not taken for the answer to another.
+	usedLinks []*engineLink
 }
 
-// attempt is one sending of a job, from the module's call until its outcome is told.
+// attempt is one attempt to run a job on an engine, from the module's decision until its outcome is reported.
 type attempt struct {
-	job       *job
-	n         int
-	engine    *engine
-	link      *engineLink  // nil while no connection is up
-	message   int64        // on the link
-	left      atomic.Int64 // when its first byte left, by the controller's clock, or 0
-	sent      time.Duration
-	until     time.Duration // the answer is here before
-	last      time.Duration // its first byte has left before
-	pages     [][]byte
-	size      int           // of the pages here
-	missing   int           // pages not here yet
-	reads     time.Duration // when they were asked for
-	paged     time.Duration // when the last one came
-	begun     bool
-	stopped   bool          // the engine was told to stop, or the connection closed
-	fenced    bool          // waits until the one before has stopped
-	asked     time.Duration // since when it waits for its client to be heard, or 0
-	withdrawn bool          // taken back before any byte had left
-	work      time.Duration
-	memory    float64
-	load      logic.Load
+	job                *job
+	number             int // number of the attempt within its job, from 0
+	engine             *engine
+	link               *engineLink   // nil until a connection is available
+	messageNumber      int64         // its number on the link
+	firstByteAt        atomic.Int64  // when its first byte was sent, by the controller's clock, or 0
+	decidedAt          time.Duration // when the module decided it
+	deadline           time.Duration // the answer must arrive before
+	sendBy             time.Duration // its first byte must be sent before
+	pages              [][]byte
+	resultBytes        int           // bytes of the pages received
+	missingPages       int           // pages not received yet
+	pagesRequestedAt   time.Duration // when the remaining pages were requested
+	lastPageAt         time.Duration // when the last page arrived
+	resultBegun        bool          // the first page of the result has arrived
+	stopRequested      bool          // the engine was told to stop, or its connection closed
+	fenced             bool          // waits until the previous attempt has stopped
+	awaitingInputSince time.Duration // since when it waits for unread client input to be read, or 0
+	withdrawn          bool          // withdrawn before any byte was sent
+	work               time.Duration // as the engine reports them with the result, like memory and load
+	memory             float64
+	load               logic.Load
 }
 
-// noLoad is where an engine reported nothing.
+// noLoad stands for an engine that reported no load.
 var noLoad = logic.Load{Util: -1, Waiting: -1, MemoryGranted: -1}
 
-// over ends an attempt that is still out, on the wire and then for the module.
-func (c *Controller) over(d *attempt, o logic.Outcome) {
-	j := d.job
-	if j.out != d {
+// finishAttempt ends an attempt that is still in flight: first on the wire, then in the router and the module.
+func (c *Controller) finishAttempt(a *attempt, outcome logic.Outcome) {
+	j := a.job
+	if j.inFlight != a {
 		return
 	}
-	c.letGo(d)
-	j.out = nil
-	c.attemptEnded(d, o)
-	c.trace("attempt over", reason(o.String()), "job", j.id, "attempt", d.n, "engine", d.engine.id, "after", c.now-d.sent,
-		"left", leftAfter(d))
-	c.counts[outcomeCounter(o)]++
+	c.releaseAttempt(a)
+	j.inFlight = nil
+	c.checkEndedAttempt(a, outcome)
+	c.trace("attempt over", reason(outcome.String()), "job", j.id, "attempt", a.number, "engine", a.engine.id, "after", c.now-a.decidedAt,
+		"left", firstByteDelay(a))
+	c.counts[outcomeCounter(outcome)]++
 	ended := j.client == nil
 	if ended {
-		c.forget(j)
-	} else if c.router != nil { // before the module, so that it does not send the job on to a pool that went down
-		was := j.place
-		if c.router.AttemptOver(c.now, route.JobID(j.id)); j.place != was {
-			c.logic.Placed(c.now, j.id, j.place, false)
+		c.forgetJob(j)
+	} else if c.router != nil { // before the module, which must not send the job on to a pool that is down
+		previousPlacement := j.placement
+		if c.router.AttemptOver(c.now, route.JobID(j.id)); j.placement != previousPlacement {
+			c.logic.Placed(c.now, j.id, j.placement, false)
 		}
 	}
-	c.logic.AttemptOver(c.now, j.id, d.n, d.engine.id, o, c.now-d.sent, ended, d.work, d.memory, d.load)
+	c.logic.AttemptOver(c.now, j.id, a.number, a.engine.id, outcome, c.now-a.decidedAt, ended, a.work, a.memory, a.load)
 }
 
-// giveUp ends an attempt that the engine may be at, or one that never left. A connection that takes in nothing
-// must not send a job on after its answer, so what is still queued is taken back.
-func (c *Controller) giveUp(d *attempt, o logic.Outcome) {
-	c.takeBack(d)
-	c.over(d, o) // which a job that was taken back is past
+// abandonAttempt ends an attempt that the engine may be working on, or one that was never sent. What is still queued is
+// withdrawn, because a connection whose peer stopped reading must not deliver a job after its answer.
+func (c *Controller) abandonAttempt(a *attempt, outcome logic.Outcome) {
+	c.withdrawAttempt(a)
+	c.finishAttempt(a, outcome) // does nothing if the attempt was withdrawn
 }
 
-// fenceWait is for the answer of an engine that was told to stop: many trips, and little against a job.
-const fenceWait = 100 * time.Millisecond
+// fenceTimeout is how long to wait for an answer from an engine that was told to stop: many round trips, and short
+// compared with a job.
+const fenceTimeout = 100 * time.Millisecond
 
-// fence guards against two attempts of a job at once: the word to stop the one before may be slower than the
-// next one to a nearer engine. Where probes are allowed, an answer to one that follows that word on the same
-// connection tells that it has arrived; elsewhere, and from a silent engine, a time in which it should have.
-func (c *Controller) fence(before, next *attempt) {
-	l, pass := before.link, func() { c.pass(next) }
-	if l.gone && !l.isClosed { // the close tells the engine to stop, and is on its way
-		l.whenClosed = append(l.whenClosed, func() { c.fence(before, next) })
+// fence prevents two attempts of a job from running at once: the command that stops the previous attempt may arrive later
+// than the next attempt does at a nearer engine. Where probes are allowed, a probe follows that command on the same
+// connection, and its answer proves that the command has arrived. Elsewhere, and for a silent engine, fence waits for a
+// time in which the command should have arrived.
+func (c *Controller) fence(previous, next *attempt) {
+	previousLink, release := previous.link, func() { c.releaseFenced(next) }
+	if previousLink.failed && !previousLink.isClosed { // closing the connection tells the engine to stop, and is under way
+		previousLink.onClosed = append(previousLink.onClosed, func() { c.fence(previous, next) })
 		return
 	}
-	c.at(c.now+fenceWait, pass)
+	c.schedule(c.now+fenceTimeout, release)
 	switch {
-	case l.gone:
-		c.at(c.now+l.engine.trip.most(), pass)
+	case previousLink.failed:
+		c.schedule(c.now+previousLink.engine.rtt.upperBound(), release)
 	case c.cfg.Settings.Probes:
-		tag := "fence-" + strconv.FormatInt(c.counts[fences], 10)
-		c.counts[fences]++
+		tag := "fence-" + strconv.FormatInt(c.counts[fencesSent], 10)
+		c.counts[fencesSent]++
 		c.fences[tag] = next
-		l.say("health", tag)
-		c.at(c.now+fenceWait, func() { delete(c.fences, tag) })
+		previousLink.sendCommand("health", tag)
+		c.schedule(c.now+fenceTimeout, func() { delete(c.fences, tag) })
 	default:
-		l.then(func() { c.at(c.now+l.engine.trip.most(), pass) })
+		previousLink.afterFlush(func() { c.schedule(c.now+previousLink.engine.rtt.upperBound(), release) })
 	}
 }
 
-// pass sends an attempt that waited at a fence.
-func (c *Controller) pass(d *attempt) {
-	if d.fenced && d.job.out == d {
-		d.fenced = false
-		c.send(d)
+// releaseFenced sends an attempt that waited at a fence.
+func (c *Controller) releaseFenced(a *attempt) {
+	if a.fenced && a.job.inFlight == a {
+		a.fenced = false
+		c.sendAttempt(a)
 	}
 }
 
-// lateAnswer is what a machine that keeps up stays below.
-const lateAnswer = 20 * time.Millisecond
+// lateThreshold is the lateness of answers and timers that a process with enough CPU time stays below.
+const lateThreshold = 20 * time.Millisecond
 
-// answer gives a job its one answer.
-func (c *Controller) answer(j *job, code byte, field, value string, body ...[]byte) {
-	k := j.client
-	if k == nil {
+// answerJob sends a job's only answer to its client.
+func (c *Controller) answerJob(j *job, code byte, field, value string, body ...[]byte) {
+	cl := j.client
+	if cl == nil {
 		return
 	}
 	j.client = nil
-	delete(k.jobs, j.stream)
-	if j.expires > 0 { // else it was refused as it came
-		c.violated(invariant.Answer(c.now, j.expires), "job", j.id, "code", code)
+	delete(cl.jobs, j.stream)
+	if j.deadline > 0 { // 0 if the job was refused on arrival
+		c.reportViolation(invariant.Answer(c.now, j.deadline), "job", j.id, "code", code)
 	}
-	c.admission.Answered(c.now, k.id)
-	if late := c.now - j.expires; j.expires > 0 && late > lateAnswer {
+	c.admission.Answered(c.now, cl.id)
+	if lateness := c.now - j.deadline; j.deadline > 0 && lateness > lateThreshold {
 		c.counts[answersLate]++
-		c.note(slog.LevelWarn, "answer late", "job", j.id, "by", late, "code", code, "attempts", j.sent)
+		c.logEvent(slog.LevelWarn, "answer late", "job", j.id, "by", lateness, "code", code, "attempts", j.attempts)
 	}
-	k.send(frame.Answer, j.stream, code, field, value, body...)
+	cl.sendFrame(frame.Answer, j.stream, code, field, value, body...)
 }
 
+// failJob answers a job with a failure.
 func (c *Controller) failJob(j *job) {
 	if j.client != nil {
 		c.counts[jobsFailed]++
 	}
-	c.answer(j, frame.Failed, "", "")
+	c.answerJob(j, frame.Failed, "", "")
 }
 
-func (c *Controller) reject(j *job, comeBack time.Duration) {
+// rejectJob answers a job with a rejection, and with the time after which to retry, in whole milliseconds, if that is not
+// 0.
+func (c *Controller) rejectJob(j *job, retryAfter time.Duration) {
 	if j.client != nil {
-		c.counts[rejected]++
+		c.counts[jobsRejected]++
 	}
 	field, value := "", ""
-	if comeBack > 0 {
-		field, value = "after", strconv.FormatInt(int64((comeBack+time.Millisecond-1)/time.Millisecond), 10)
+	if retryAfter > 0 {
+		field, value = "after", strconv.FormatInt(int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10)
 	}
-	c.answer(j, frame.Rejected, field, value)
+	c.answerJob(j, frame.Rejected, field, value)
 }
 
-// owed counts the jobs that have no answer.
-func (c *Controller) owed() (n int) {
+// unansweredJobs counts the jobs that have no answer yet.
+func (c *Controller) unansweredJobs() (count int) {
 	for _, j := range c.jobs {
 		if j.client != nil {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// forget drops a job that is over and has nothing out.
-func (c *Controller) forget(j *job) {
+// forgetJob drops a job that is answered and has no attempt in flight.
+func (c *Controller) forgetJob(j *job) {
 	if c.jobs[j.id] == j {
 		delete(c.jobs, j.id)
-		c.bytes -= int64(len(j.statement))
-		j.statement = nil // as with pages
+		c.jobBytes -= int64(len(j.statement))
+		j.statement = nil // timers may keep the job alive for seconds, as with pages
 		if c.router != nil {
 			c.router.JobOver(c.now, route.JobID(j.id))
 		}
 	}
 }
 
-// clientGone ends a job that nobody waits for any more.
-func (c *Controller) clientGone(j *job) {
+// cancelJob ends a job whose client is gone or has cancelled it.
+func (c *Controller) cancelJob(j *job) {
 	delete(j.client.jobs, j.stream)
-	j.client, j.clientGone = nil, c.now
-	c.counts[clientGone]++
+	j.client, j.clientGoneAt = nil, c.now
+	c.counts[jobsClientGone]++
 	c.trace("client gone", "closed or cancelled", "job", j.id)
-	c.unwanted(j)
+	c.abandonJob(j)
 }
 
-// leftAfter is how long after it was decided an attempt's first byte left, below 0 for none.
-func leftAfter(d *attempt) time.Duration {
-	if left := time.Duration(d.left.Load()); left > 0 {
-		return left - d.sent
+// firstByteDelay returns the time from the decision of an attempt until its first byte was sent, negative if none was.
+func firstByteDelay(a *attempt) time.Duration {
+	if sentAt := time.Duration(a.firstByteAt.Load()); sentAt > 0 {
+		return sentAt - a.decidedAt
 	}
 	return -1
 }
 
-// unwanted tells the module that nobody waits for a job any more, and takes back what has not left of it, whether or not
-// the module may recall what has.
-func (c *Controller) unwanted(j *job) {
+// abandonJob tells the module that no client waits for a job any more, and withdraws an unsent attempt of it, whether or
+// not the module may recall one that was sent.
+func (c *Controller) abandonJob(j *job) {
 	c.logic.ClientGone(c.now, j.id)
-	c.later(func() {
-		if j.out != nil {
-			c.takeBack(j.out)
+	c.runLater(func() {
+		if j.inFlight != nil {
+			c.withdrawAttempt(j.inFlight)
 		}
-		if j.out == nil {
-			c.forget(j)
+		if j.inFlight == nil {
+			c.forgetJob(j)
 		}
 	})
 }
 
-// takeBack ends an attempt of which no byte has left; any other goes on.
-func (c *Controller) takeBack(d *attempt) {
-	if d.job.out == d && (d.link == nil || d.link.withdraw(d.message)) {
-		d.withdrawn = true
-		c.over(d, logic.NotSent)
+// withdrawAttempt ends an attempt of which no byte was sent; it does nothing to any other.
+func (c *Controller) withdrawAttempt(a *attempt) {
+	if a.job.inFlight == a && (a.link == nil || a.link.withdraw(a.messageNumber)) {
+		a.withdrawn = true
+		c.finishAttempt(a, logic.NotSent)
 	}
 }
 
-// catchUp is for what lies unread to be read, and is waited for up to mostBehind: half the tenth of a second in which a
-// client that is gone has to be heard, and little against a job.
-const catchUp, mostBehind = 2 * time.Millisecond, 50 * time.Millisecond
+// unreadRecheckInterval is how long to wait for unread input to be read before checking again. maxUnreadWait bounds the
+// total wait: it is half of the 100 ms within which a client that is gone must be noticed, and short compared with a job.
+const unreadRecheckInterval, maxUnreadWait = 2 * time.Millisecond, 50 * time.Millisecond
 
-// unsure tells that the client of an attempt that waited has sent what was not read yet, or discovery, as the process is behind:
-// it may be that the client is gone, or the engine.
-func (c *Controller) unsure(d *attempt) bool {
-	if d.job.client == nil {
+// mustAwaitInput reports whether an attempt that waited has to wait for unread input, because the process lags behind:
+// unread bytes of its client may say that the client is gone, and unread discovery events that the engine is.
+func (c *Controller) mustAwaitInput(a *attempt) bool {
+	if a.job.client == nil {
 		return false
 	}
-	if c.listUnread() {
+	if c.discoveryUnread() {
 		return true
 	}
-	if c.justRead(d.job) || !d.job.client.unread() {
+	if c.justRead(a.job) || !a.job.client.hasUnread() {
 		return false
 	}
-	if d.asked == 0 {
-		d.asked = c.clock()
+	if a.awaitingInputSince == 0 {
+		a.awaitingInputSince = c.clock()
 	}
-	return c.clock()-d.asked < mostBehind
+	return c.clock()-a.awaitingInputSince < maxUnreadWait
 }
 
-// justRead tells that a job was read at this very moment by a process that keeps up: nothing of its client's can lie unread that
-// was there before. What a process reads that stood still may be old.
-func (c *Controller) justRead(j *job) bool { return c.now == j.taken && !c.catchesUp() }
+// justRead reports whether a job was read at this very moment by a process that is not catching up after a stall: then no
+// earlier input of its client can be unread. What is read after a stall may be old.
+func (c *Controller) justRead(j *job) bool { return c.now == j.acceptedAt && !c.catchingUp() }
 
-// fit tells whether an attempt may still leave. Guards against all that may have ended while it waited for a connection
-// or at a fence: its client, its engine's service, its time; and against a client that has closed its connection and was
-// not heard yet, as the process stood still.
-func (c *Controller) fit(d *attempt) bool {
-	k := d.job.client
-	if k != nil && k.left() {
-		c.later(func() { c.allGone(k) })
+// maySend reports whether an attempt may still be sent. While it waited for a connection or at a fence, its client may
+// have gone, its engine may have left service, or its time may have passed. It also asks the kernel whether the client
+// has closed its connection, which a stalled process may not have noticed yet.
+func (c *Controller) maySend(a *attempt) bool {
+	cl := a.job.client
+	if cl != nil && cl.peerClosed() {
+		c.runLater(func() { c.cancelAllJobs(cl) })
 		return false
 	}
-	return k != nil && (d.engine.state == logic.Up || c.unguarded) && c.now < d.last
+	return cl != nil && (a.engine.state == logic.Up || c.checksDisabled) && c.now < a.sendBy
 }
 
-// OpenJobs is the number of jobs that were taken and are not over.
-func (c *Controller) OpenJobs() (n int) {
-	c.do(func() { n = len(c.jobs) })
-	return n
+// OpenJobs returns the number of jobs that were accepted and are not forgotten yet.
+func (c *Controller) OpenJobs() (count int) {
+	c.withLock(func() { count = len(c.jobs) })
+	return count
 }
--- a/controller/link.go
+++ b/controller/link.go
@@ -12,45 +12,50 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// link is a connection: what came in and is not whole yet, and what is to go out. Its writer is a goroutine of
-// the connection, not of a job: netpoll's Flush waits while the peer's window is full, and whoever queues
-// output holds the lock or serves other connections. All that gathers meanwhile goes out in one gathered write.
+// link is a connection with its incomplete input and its queued output. Its writer is a goroutine per connection, not per
+// job: netpoll's Flush blocks while the peer's window is full, and whoever queues output holds the controller's lock or
+// serves other connections. All output that is queued meanwhile leaves in one gathered write.
 type link struct {
-	c        *Controller
-	conn     netpoll.Connection
-	rest     []byte
-	kept     int // bytes of memory that rest is counted with
-	wake     chan struct{}
-	shut     bool         // ends by shutting its side first
-	ownBound bool         // what it keeps of a message has a bound of its own, and is not counted with that of others
-	overdue  *time.Timer  // closes the connection when a write takes too long
-	down     func()       // is called right before that, under the link's own lock; nil for nothing
-	busy     atomic.Bool  // a read waits for the controller's lock, with what netpoll's buffer no longer shows
-	deaf     atomic.Bool  // it said what can't be read: whatever else comes is passed over
-	half     atomic.Int64 // when the message that is not whole yet began, by the controller's clock, or 0
-	came     atomic.Int64 // when bytes last came, by the same clock
-
-	mu            sync.Mutex
-	pending       []message
-	unsent        int      // memory of what is queued and not flushed, in bytes
-	queued, taken int64    // messages queued, and handed to the socket
-	ending, over  bool     // ending: closes once all is flushed
-	isDown        bool     // its side is shut
-	flushed       []func() // to be done once what is pending has left
+	c             *Controller
+	conn          netpoll.Connection
+	partial       []byte        // the beginning of an incomplete message
+	partialBytes  int           // bytes that partial is accounted with
+	wake          chan struct{} // signals the writer
+	gracefulClose bool          // closes by shutting down its write side first
+	// its partial message has a limit of its own and is not accounted with those of other connections
+	ownLimit   bool
+	writeTimer *time.Timer // closes the connection when a write takes too long
+	// called right before the write side is shut down, under the link's own lock; may be nil
+	onShutdown func()
+	// a read waits for the controller's lock, with bytes that are no longer in netpoll's buffer
+	readWaiting  atomic.Bool
+	discardInput atomic.Bool // its input was malformed: whatever else arrives is discarded
+	// when the message that is still incomplete began, by the controller's clock, or 0
+	partialSince atomic.Int64
+	lastReadAt   atomic.Int64 // when bytes last arrived, by the same clock
+
+	mu                      sync.Mutex // guards the fields below
+	pending                 []message  // queued and not handed to the socket
+	unsentBytes             int        // memory of queued and unflushed messages
+	lastQueued, lastWritten int64      // numbers of the last message queued, and of the last handed to the socket
+	closing, connClosed     bool       // closing: closes once everything is flushed; connClosed: the connection is closed
+	writeShut               bool       // the write side is shut down
+	onFlushed               []func()   // calls to make once the pending messages are written
 }
 
-// message is what belongs together, in parts that may be shared.
+// message is a unit of output, in parts that other messages may share.
 type message struct {
 	number int64
-	last   time.Duration // until when it may leave, by the controller's clock, or 0
-	left   *atomic.Int64 // when it left, by the same clock, is kept here, or nil
+	sendBy time.Duration // latest time to send it, by the controller's clock, or 0
+	sentAt *atomic.Int64 // receives the time at which it was sent, by the same clock; may be nil
 	parts  [][]byte
 }
 
-// messageOverhead is what a message takes in memory beside its bytes: itself, its list of parts, and the buffer of its head.
+// messageOverhead is the memory of a message in addition to its bytes: the struct, its list of parts and the buffer of
+// its head.
 const messageOverhead = 256
 
-// size is what a message takes in memory.
+// size is the memory of a message.
 func (m message) size() int {
 	size := messageOverhead
 	for _, part := range m.parts {
@@ -59,51 +64,55 @@
 	return size
 }
 
+// newLink wraps a connection and starts its writer.
 func newLink(c *Controller, conn netpoll.Connection) *link {
 	l := &link{c: c, conn: conn, wake: make(chan struct{}, 1)}
-	l.overdue = time.AfterFunc(time.Hour, func() {
-		defer c.caught()
+	l.writeTimer = time.AfterFunc(time.Hour, func() {
+		defer c.recoverPanic()
 		_ = conn.Close()
 	})
-	l.overdue.Stop()
-	c.aside(l.write)
+	l.writeTimer.Stop()
+	c.spawn(l.writeLoop)
 	return l
 }
 
-// add queues a message and gives its number. It does not wait.
-func (l *link) add(parts ...[]byte) int64 { return l.addUntil(0, nil, parts...) }
+// enqueue queues a message and returns its number. It does not block.
+func (l *link) enqueue(parts ...[]byte) int64 { return l.enqueueUntil(0, nil, parts...) }
 
-// addUntil queues a message that stays here once a time has passed, until it is taken back. When it leaves is kept in left.
-func (l *link) addUntil(last time.Duration, left *atomic.Int64, parts ...[]byte) int64 {
+// enqueueUntil queues a message that is not sent after the given time; from then on it stays queued until it is
+// withdrawn. The time at which it is sent is stored in sentAt.
+func (l *link) enqueueUntil(sendBy time.Duration, sentAt *atomic.Int64, parts ...[]byte) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over || l.isDown || l.ending && !l.shut {
-		return l.queued + 1
+	if l.connClosed || l.writeShut || l.closing && !l.gracefulClose {
+		return l.lastQueued + 1
 	}
-	l.queued++
-	m := message{l.queued, last, left, parts}
+	l.lastQueued++
+	m := message{l.lastQueued, sendBy, sentAt, parts}
 	l.pending = append(l.pending, m)
-	l.keep(m.size())
+	l.accountUnsent(m.size())
 	l.signal()
-	return l.queued
+	return l.lastQueued
 }
 
-// keep counts what is queued, or has left. Nothing is counted after the end.
-func (l *link) keep(size int) {
-	if !l.over || size < 0 && l.unsent+size >= 0 {
-		l.unsent += size
-		l.c.held.Add(int64(size))
+// accountUnsent adds to the accounted size of unsent messages, or subtracts from it. Nothing is added after the
+// connection is closed.
+func (l *link) accountUnsent(size int) {
+	if !l.connClosed || size < 0 && l.unsentBytes+size >= 0 {
+		l.unsentBytes += size
+		l.c.connBytes.Add(int64(size))
 	}
 }
 
-// then has f done, under the controller's lock, once all that is queued now has left.
-func (l *link) then(f func()) {
+// afterFlush has f called, under the controller's lock, once everything queued by now is written.
+func (l *link) afterFlush(f func()) {
 	l.mu.Lock()
-	l.flushed = append(l.flushed, f)
+	l.onFlushed = append(l.onFlushed, f)
 	l.signal()
 	l.mu.Unlock()
 }
 
+// signal wakes the writer. It does not block.
 func (l *link) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -111,206 +120,211 @@
 	}
 }
 
-// end closes the connection once all that is queued is flushed.
-func (l *link) end() {
+// closeWhenFlushed closes the connection once all queued output is flushed.
+func (l *link) closeWhenFlushed() {
 	l.mu.Lock()
-	l.ending = true
+	l.closing = true
 	l.signal()
 	l.mu.Unlock()
 }
 
-// closed ends the writer after the connection.
-func (l *link) closed() {
+// markClosed stops the writer after the connection was closed.
+func (l *link) markClosed() {
 	l.mu.Lock()
-	l.over = true
-	l.keep(-l.unsent)
-	l.c.held.Add(-int64(l.kept))
-	l.kept = 0
+	l.connClosed = true
+	l.accountUnsent(-l.unsentBytes)
+	l.c.connBytes.Add(-int64(l.partialBytes))
+	l.partialBytes = 0
 	l.signal()
 	l.mu.Unlock()
 }
 
-// withdraw takes back a message that has not been handed to the socket, and tells whether it could.
+// withdraw removes a message that was not handed to the socket, and reports whether it could.
 func (l *link) withdraw(number int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := slices.IndexFunc(l.pending, func(m message) bool { return m.number == number })
-	if at < 0 {
+	index := slices.IndexFunc(l.pending, func(m message) bool { return m.number == number })
+	if index < 0 {
 		return false
 	}
-	l.keep(-l.pending[at].size())
-	l.pending = slices.Delete(l.pending, at, at+1)
+	l.accountUnsent(-l.pending[index].size())
+	l.pending = slices.Delete(l.pending, index, index+1)
 	return true
 }
 
-// wrote tells whether any byte of a message may have left.
-func (l *link) wrote(message int64) bool {
+// mayHaveSent reports whether any byte of a message may have been sent.
+func (l *link) mayHaveSent(message int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return message <= l.taken
+	return message <= l.lastWritten
 }
 
-// discard gives up what is queued on a connection that is to be closed at once.
-func (l *link) discard() {
+// discardPending drops the queued output of a connection that is to be closed at once.
+func (l *link) discardPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.pending {
-		l.keep(-m.size())
+		l.accountUnsent(-m.size())
 	}
-	l.pending, l.ending = nil, true
+	l.pending, l.closing = nil, true
 }
 
+// backlog returns the memory of the messages that are not flushed yet.
 func (l *link) backlog() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.unsent
+	return l.unsentBytes
 }
 
-// write waits a tick of the settings from one write to the next: what comes meanwhile goes together, which spares
-// the peer a read a message when there are many. It is little against a job, and nothing on a connection that was
-// idle.
-func (l *link) write() {
+// writeLoop waits one tick of the settings between writes, so that output queued meanwhile is written together: with many
+// messages this saves the peer a read per message. The wait is short compared with a job, and an idle connection does not
+// wait at all.
+func (l *link) writeLoop() {
 	defer func() { _ = l.conn.Close() }()
-	var last time.Time
-	crossings := 0
+	var lastWrite time.Time
+	rechecks := 0
 	for range l.wake {
-		time.Sleep(l.c.cfg.Settings.Logic.Tick - time.Since(last))
-		size, flushed, ending, over := l.hand()
-		if over || size > 0 && l.flush() != nil {
+		time.Sleep(l.c.cfg.Settings.Logic.Tick - time.Since(lastWrite))
+		size, flushed, closing, closed := l.handOver()
+		if closed || size > 0 && l.flush() != nil {
 			break
 		}
-		l.c.all(flushed)
-		last = time.Now()
+		l.c.runAll(flushed)
+		lastWrite = time.Now()
 		l.mu.Lock()
-		l.keep(-size)
+		l.accountUnsent(-size)
 		l.mu.Unlock()
-		if !ending {
+		if !closing {
 			continue
 		}
-		if crossings < mostCrossings && l.crossed() {
-			crossings++
-			time.Sleep(crossingWait)
+		if rechecks < maxCloseRechecks && l.activeSinceClose() {
+			rechecks++
+			time.Sleep(closeRecheckInterval)
 			l.signal()
 			continue
 		}
-		l.shutFirst()
+		l.shutdownAndLinger()
 		break
 	}
 }
 
-// What crosses the end of a connection is read and answered before it is shut, for as long as a peer that sends on may hold that up.
-const crossingWait, mostCrossings = time.Millisecond, 30
+// Input that arrives while a connection is closing is read and answered before the write side is shut down, for at most
+// this long in total, as a peer that keeps sending could delay the close.
+const closeRecheckInterval, maxCloseRechecks = time.Millisecond, 30
 
-// crossed tells that something came, or is to leave, since the end was decided: on a slow machine that may be long ago.
-func (l *link) crossed() bool {
-	if !l.shut {
+// activeSinceClose reports whether input has arrived, or output was queued, since the close was requested: on a slow
+// machine that may be long ago.
+func (l *link) activeSinceClose() bool {
+	if !l.gracefulClose {
 		return false
 	}
 	l.mu.Lock()
-	pending, over := len(l.pending) > 0, l.over
+	pending, closed := len(l.pending) > 0, l.connClosed
 	l.mu.Unlock()
-	return !over && (pending || l.unread())
+	return !closed && (pending || l.hasUnread())
 }
 
-// lingers is how long a connection whose side here is shut is read on, for a peer that has not noticed: hundreds of trips.
-const lingers = 500 * time.Millisecond
+// lingerTimeout is how long input is still read after the write side was shut down, for a peer that has not noticed:
+// hundreds of round trips.
+const lingerTimeout = 500 * time.Millisecond
 
-// shutFirst guards answers that are still on their way, here or in the peer's system, against what the peer sends in the very
-// moment of a close: closing over bytes that nobody read resets the connection, and they may go with it. It shuts its own
-// side, and what comes is read and passed over until the peer closes or its time is up.
-func (l *link) shutFirst() {
-	defer l.c.lingering.Add(-1)
-	if l.c.lingering.Add(1) > int64(mostLingering(l.c.cfg)) && !l.c.parting.Load() || !l.shut {
+// shutdownAndLinger protects answers that are still on their way, here or in the peer's kernel: closing a connection with
+// unread input resets it, and answers may be lost with it when the peer sends at the moment of the close. The write side
+// is shut down, and input is read and discarded until the peer closes or the linger time is over.
+func (l *link) shutdownAndLinger() {
+	defer l.c.lingeringConns.Add(-1)
+	if l.c.lingeringConns.Add(1) > int64(maxLingering(l.c.cfg)) && !l.c.exiting.Load() || !l.gracefulClose {
 		return
 	}
 	l.mu.Lock()
 	conn, ok := l.conn.(netpoll.Conn)
-	if l.isDown = true; l.down != nil {
-		l.down()
+	if l.writeShut = true; l.onShutdown != nil {
+		l.onShutdown()
 	}
-	ok = ok && !l.over && syscall.Shutdown(conn.Fd(), syscall.SHUT_WR) == nil // open, as closed has not come for it
+	// The descriptor is still open, as markClosed was not called.
+	ok = ok && !l.connClosed && syscall.Shutdown(conn.Fd(), syscall.SHUT_WR) == nil
 	l.mu.Unlock()
 	if !ok {
 		return
 	}
-	late := time.NewTimer(lingers)
-	defer late.Stop()
+	timeout := time.NewTimer(lingerTimeout)
+	defer timeout.Stop()
 	for {
 		select {
-		case <-late.C:
+		case <-timeout.C:
 			return
 		case <-l.wake:
 			l.mu.Lock()
-			over := l.over
+			closed := l.connClosed
 			l.mu.Unlock()
-			if over {
+			if closed {
 				return
 			}
 		}
 	}
 }
 
-// ended tells whether this side is shut, or the connection closed.
-func (l *link) ended() bool {
+// isShutOrClosed reports whether the write side is shut down or the connection is closed.
+func (l *link) isShutOrClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.isDown || l.over
+	return l.writeShut || l.connClosed
 }
 
-// hand gives what is pending to netpoll, which keeps references. It does so under the link's own lock, as the
-// buffers go when the connection's close callbacks, closed among them, are through.
-func (l *link) hand() (size int, flushed []func(), ending, over bool) {
+// handOver passes pending messages to netpoll, which keeps references. It holds the link's own lock meanwhile, because
+// the buffers are freed after the close callbacks, which call markClosed.
+func (l *link) handOver() (size int, flushed []func(), closing, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.connClosed {
 		return 0, nil, false, true
 	}
-	kept := l.pending[:0]
-	for now, at := l.c.clock(), 0; at < len(l.pending); at++ {
-		m := l.pending[at]
-		if m.last > 0 && now >= m.last {
-			kept = append(kept, m)
+	remaining := l.pending[:0]
+	for now, i := l.c.clock(), 0; i < len(l.pending); i++ {
+		m := l.pending[i]
+		if m.sendBy > 0 && now >= m.sendBy {
+			remaining = append(remaining, m)
 			continue
 		}
-		if m.left != nil {
-			m.left.Store(int64(now))
+		if m.sentAt != nil {
+			m.sentAt.Store(int64(now))
 		}
 		size += m.size()
 		for _, part := range m.parts {
 			_, _ = l.conn.Writer().WriteBinary(part)
 		}
 	}
-	clear(l.pending[len(kept):])
-	flushed = l.flushed
-	l.pending, l.flushed, l.taken = kept, nil, l.queued
-	return size, flushed, l.ending, false
+	clear(l.pending[len(remaining):])
+	flushed = l.onFlushed
+	l.pending, l.onFlushed, l.lastWritten = remaining, nil, l.lastQueued
+	return size, flushed, l.closing, false
 }
 
-// halfSince is for how long a message has been coming.
-func (l *link) halfSince(now time.Duration) time.Duration {
-	if since := l.half.Load(); since > 0 {
+// partialAge returns how long a message has been arriving, 0 for none.
+func (l *link) partialAge(now time.Duration) time.Duration {
+	if since := l.partialSince.Load(); since > 0 {
 		return now - time.Duration(since)
 	}
 	return 0
 }
 
-// arrival is for how long a message has been coming, 0 for none, and how long ago bytes of it last came.
-func (l *link) arrival(now time.Duration) (since, quiet time.Duration) {
-	return l.halfSince(now), now - time.Duration(l.came.Load())
+// arrivalAges returns how long a message has been arriving, 0 for none, and how long ago bytes last arrived.
+func (l *link) arrivalAges(now time.Duration) (partial, idle time.Duration) {
+	return l.partialAge(now), now - time.Duration(l.lastReadAt.Load())
 }
 
-// left tells whether the peer has closed the connection, or its side of it, and this process has not noticed yet, whatever lies
-// unread before it. A look that the kernel refuses tells nothing.
-func (l *link) left() bool {
+// peerClosed reports whether the peer has closed the connection, or its side of it, even if this process has not noticed
+// yet and unread bytes precede the close. An error of the check itself counts as not closed.
+func (l *link) peerClosed() bool {
 	n, err := l.peek()
 	if err == nil && n > 0 {
-		return l.peerShut()
+		return l.inCloseWait()
 	}
 	return err == nil || err == syscall.ECONNRESET
 }
 
-// peerShut asks the kernel for the state of a connection before which bytes lie unread.
-func (l *link) peerShut() bool {
+// inCloseWait asks the kernel for the state of a connection on which unread bytes precede a possible close.
+func (l *link) inCloseWait() bool {
 	conn, ok := l.conn.(netpoll.Conn)
 	if !ok {
 		return false
@@ -319,128 +333,129 @@
 	if err != nil {
 		return false
 	}
-	var first [4]byte // tcpi_state is the first byte of tcp_info
-	binary.NativeEndian.PutUint32(first[:], uint32(info))
-	return first[0] == closeWait
+	var prefix [4]byte // tcpi_state is the first byte of tcp_info
+	binary.NativeEndian.PutUint32(prefix[:], uint32(info))
+	return prefix[0] == tcpCloseWait
 }
 
-// closeWait is TCP_CLOSE_WAIT of the kernel's tcp_states.h: the peer has sent all that it will.
-const closeWait byte = 8
+// tcpCloseWait is TCP_CLOSE_WAIT of the kernel's tcp_states.h: the peer has sent everything and closed its side.
+const tcpCloseWait byte = 8
 
-// peek looks into the kernel's buffer without taking anything: one byte, or none where the peer has closed its side.
+// peek reads one byte from the kernel's buffer without consuming it; n is 0 if the peer has closed its side.
 func (l *link) peek() (n int, err error) {
 	conn, ok := l.conn.(netpoll.Conn)
 	if !ok {
 		return 0, syscall.ENOTSUP
 	}
-	var look [1]byte
-	n, _, err = syscall.Recvfrom(conn.Fd(), look[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buffer [1]byte
+	n, _, err = syscall.Recvfrom(conn.Fd(), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// unread tells whether anything came that has not been taken in: by a read that waits for the lock, in netpoll's
-// buffer, or in the kernel's, where it lies while the process stands still. A look that the kernel refuses tells
-// nothing.
-func (l *link) unread() bool {
-	if l.busy.Load() || l.conn.Reader().Len() > 0 {
+// hasUnread reports whether unprocessed input exists: in a read that waits for the lock, in netpoll's buffer, or in the
+// kernel's buffer, where it stays while the process is stalled. An error of the check counts as none.
+func (l *link) hasUnread() bool {
+	if l.readWaiting.Load() || l.conn.Reader().Len() > 0 {
 		return true
 	}
 	n, err := l.peek()
 	return err == nil && n > 0
 }
 
-// maxRest is what an idle connection may keep of a buffer for messages in parts.
-const maxRest = 16 << 10
+// maxIdleBuffer is the largest buffer for incomplete messages that an idle connection may keep.
+const maxIdleBuffer = 16 << 10
 
-// mostRead is how much is handled at once: as many calls as small messages in it are kept in memory.
-const mostRead = 64 << 10
+// maxReadBytes is how much input is handled at once: the calls of all its messages, which may be small and many, are kept
+// in memory.
+const maxReadBytes = 64 << 10
 
-// mostUnread is a part of the memory that may wait to be handled on one connection: what came before netpoll was held back.
-const mostUnread = 32
+// unreadMemoryDivisor limits the input that may wait on one connection to this part of the memory: what arrived before
+// netpoll was held back.
+const unreadMemoryDivisor = 32
 
 var errMemory = errors.New("too much is being sent at once")
 
-// read takes what has come, a bounded piece at a time: netpoll calls again at once while anything is left. next reads one message in
-// place and gives its size, 0 while it is not whole, and the call that it leads to. All calls are made under one hold of the
-// controller's lock, before the bytes are given back: from its begin on nothing of what was read lies unread. After an error
-// nothing more is read on the connection.
-func (l *link) read(next func(data []byte) (call func(), size int, err error)) (err error) {
-	l.busy.Store(true)
-	defer l.busy.Store(false)
-	r := l.conn.Reader()
-	if l.deaf.Load() {
-		return errors.Join(r.Skip(r.Len()), r.Release())
+// readMessages handles input, a bounded piece at a time: netpoll calls again at once while anything is left. parse parses
+// one message in place and returns its size, 0 if it is incomplete, and the call to make for it. All calls are made under
+// one hold of the controller's lock, before the bytes are released: once the calls begin, nothing of what was read counts
+// as unread. After an error nothing more is read on the connection.
+func (l *link) readMessages(parse func(data []byte) (call func(), size int, err error)) (err error) {
+	l.readWaiting.Store(true)
+	defer l.readWaiting.Store(false)
+	reader := l.conn.Reader()
+	if l.discardInput.Load() {
+		return errors.Join(reader.Skip(reader.Len()), reader.Release())
 	}
 	defer func() {
 		if err != nil {
-			l.deaf.Store(true)
-			l.keepRest(nil)
+			l.discardInput.Store(true)
+			l.keepPartial(nil)
 		}
 	}()
-	if int64(r.Len()) > l.c.cfg.MemoryMB<<20/mostUnread {
+	if int64(reader.Len()) > l.c.cfg.MemoryMB<<20/unreadMemoryDivisor {
 		return errMemory
 	}
-	data, err := r.Next(min(r.Len(), mostRead))
+	data, err := reader.Next(min(reader.Len(), maxReadBytes))
 	if err != nil {
 		return err
 	}
-	l.came.Store(int64(l.c.clock()))
-	if len(l.rest) > 0 {
-		l.rest = append(l.rest, data...)
-		data = l.rest
+	l.lastReadAt.Store(int64(l.c.clock()))
+	if len(l.partial) > 0 {
+		l.partial = append(l.partial, data...)
+		data = l.partial
 	}
 	var calls []func()
-	size, whole := 0, false
+	size, consumed := 0, false
 	for len(data) > 0 {
 		var call func()
-		if call, size, err = next(data); err != nil || size == 0 {
+		if call, size, err = parse(data); err != nil || size == 0 {
 			break
 		}
 		calls = append(calls, call)
-		data, whole = data[size:], true
+		data, consumed = data[size:], true
 	}
 	if len(calls) > 0 {
-		l.c.do(func() {
-			l.busy.Store(false)
+		l.c.withLock(func() {
+			l.readWaiting.Store(false)
 			for _, call := range calls {
 				call()
 			}
 		})
 	}
 	if len(data) == 0 {
-		l.half.Store(0)
-	} else if whole || l.half.Load() == 0 {
-		l.half.Store(int64(l.c.clock()))
+		l.partialSince.Store(0)
+	} else if consumed || l.partialSince.Load() == 0 {
+		l.partialSince.Store(int64(l.c.clock()))
 	}
-	l.keepRest(data)
-	_ = r.Release()
-	if err == nil && !l.ownBound && len(l.rest) > maxRest && l.c.held.Load() > l.c.cfg.MemoryMB<<20/16 {
+	l.keepPartial(data)
+	_ = reader.Release()
+	if err == nil && !l.ownLimit && len(l.partial) > maxIdleBuffer && l.c.connBytes.Load() > l.c.cfg.MemoryMB<<20/16 {
 		err = errMemory
 	}
 	return err
 }
 
-// keepRest keeps the begin of a message that is not whole, in little more memory than it takes, and counts that.
-func (l *link) keepRest(data []byte) {
+// keepPartial keeps the beginning of an incomplete message, in little more memory than it needs, and accounts for it.
+func (l *link) keepPartial(data []byte) {
 	switch {
-	case len(data) == 0 && cap(l.rest) > maxRest:
-		l.rest = nil
-	case cap(l.rest) > max(maxRest, 4*len(data)):
-		l.rest = slices.Clone(data)
+	case len(data) == 0 && cap(l.partial) > maxIdleBuffer:
+		l.partial = nil
+	case cap(l.partial) > max(maxIdleBuffer, 4*len(data)):
+		l.partial = slices.Clone(data)
 	default:
-		l.rest = append(l.rest[:0], data...)
+		l.partial = append(l.partial[:0], data...)
 	}
-	if l.ownBound {
+	if l.ownLimit {
 		return
 	}
-	kept := 0
-	if len(l.rest) > 0 {
-		kept = cap(l.rest)
+	accounted := 0
+	if len(l.partial) > 0 {
+		accounted = cap(l.partial)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.over {
-		l.c.held.Add(int64(kept - l.kept))
-		l.kept = kept
+	if !l.connClosed {
+		l.c.connBytes.Add(int64(accounted - l.partialBytes))
+		l.partialBytes = accounted
 	}
 }
--- a/controller/listener.go
+++ b/controller/listener.go
@@ -10,16 +10,17 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// acceptor accepts clients' connections. netpoll's own listener is not used: of two lacks of descriptors it survives the first
-// only, as it can't take its listener off a poll twice, and of other lacks none without asking in a loop without a pause.
+// acceptor accepts client connections. netpoll's own listener is not used: it survives a lack of descriptors only the
+// first time, as it can't remove its listener from a poll twice, and on other shortages it retries in a loop without a
+// pause.
 type acceptor struct {
-	c    *Controller
-	file *os.File // the listening socket
-	raw  syscall.RawConn
-	take func(listener int) (fd int, err error) // accept(2)
+	c       *Controller
+	file    *os.File // the listening socket
+	rawConn syscall.RawConn
+	accept  func(listener int) (fd int, err error) // accept(2)
 }
 
-// listen begins to listen at an address. Close ends it.
+// listen starts to listen at an address. Close ends it.
 func (c *Controller) listen(address string) (*acceptor, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -30,7 +31,7 @@
 	if !ok {
 		return nil, errors.ErrUnsupported
 	}
-	file, err := tcp.File() // as the library's own gives no way to accept without a connection of its own
+	file, err := tcp.File() // because the library itself can't accept without making a connection of its own
 	if err != nil {
 		return nil, err
 	}
@@ -38,86 +39,87 @@
 	if err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
-	return &acceptor{c, file, raw, c.system.accept}, nil
+	return &acceptor{c, file, raw, c.sys.accept}, nil
 }
 
-// Close ends listening, and serve.
+// Close stops listening and ends serve.
 func (a *acceptor) Close() error { return a.file.Close() }
 
-// After a call that failed for a lack in this system the next one comes after a pause that doubles. Connections that broke before
-// they were accepted are passed over, some of them without a pause.
+// After an error caused by a shortage in this system the next call follows a pause that doubles. Errors of connections
+// that broke before they were accepted are skipped, up to a number of them in a row without a pause.
 const (
-	leastAcceptPause = time.Millisecond
-	mostAcceptPause  = 200 * time.Millisecond
-	mostPassedOver   = 64
+	minAcceptPause = time.Millisecond
+	maxAcceptPause = 200 * time.Millisecond
+	maxSkipped     = 64
 )
 
-// serve goes on until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (a *acceptor) serve() error {
-	for pause, passed := time.Duration(0), 0; ; {
-		fd, no, err := a.next()
+	for pause, skipped := time.Duration(0), 0; ; {
+		fd, errno, err := a.acceptNext()
 		switch {
 		case err != nil:
 			return err
-		case no == nil:
-			pause, passed = 0, 0
+		case errno == nil:
+			pause, skipped = 0, 0
 			a.serveClient(fd)
 			continue
-		case isOfOneConnection(no) && passed < mostPassedOver:
-			passed++
+		case isConnectionError(errno) && skipped < maxSkipped:
+			skipped++
 		default:
-			passed = 0
-			pause = min(max(2*pause, leastAcceptPause), mostAcceptPause)
+			skipped = 0
+			pause = min(max(2*pause, minAcceptPause), maxAcceptPause)
 		}
-		a.failed(no, pause)
+		a.recordFailure(errno, pause)
 		time.Sleep(pause)
 	}
 }
 
-// next waits for a connection. no is the error of accept(2), err one of the listener as a whole.
-func (a *acceptor) next() (fd int, no, err error) {
-	err = a.raw.Read(func(listener uintptr) (done bool) {
-		fd, no = a.take(int(listener))
-		return no != syscall.EAGAIN
+// acceptNext waits for a connection. errno is the error of accept(2), err an error of the listener itself.
+func (a *acceptor) acceptNext() (fd int, errno, err error) {
+	err = a.rawConn.Read(func(listener uintptr) (done bool) {
+		fd, errno = a.accept(int(listener))
+		return errno != syscall.EAGAIN
 	})
-	return fd, no, err
+	return fd, errno, err
 }
 
-func (a *acceptor) failed(no error, pause time.Duration) {
-	a.c.do(func() {
+// recordFailure counts and traces an error of accept(2).
+func (a *acceptor) recordFailure(errno error, pause time.Duration) {
+	a.c.withLock(func() {
 		a.c.counts[acceptsFailed]++
-		a.c.trace("accept failed", reason(no.Error()), "pause", pause)
+		a.c.trace("accept failed", reason(errno.Error()), "pause", pause)
 	})
 }
 
 // serveClient hands a connection to netpoll and to admission.
 func (a *acceptor) serveClient(fd int) {
-	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // without it answers wait for others, no more
+	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1) // a failure only means that answers wait for others
 	var conn netpoll.Connection
 	var err error
 	taken := false
-	a.c.do(func() { // netpoll reads from the first moment, so nothing may come between that and the callback
+	a.c.withLock(func() { // netpoll reads from the first moment on, so the callback must be set under the same lock
 		if conn, err = netpoll.NewFDConnection(fd); err == nil {
-			taken = a.c.accept(conn) != nil
+			taken = a.c.addClient(conn) != nil
 		}
 	})
-	if err != nil { // it is closed
-		a.failed(err, 0)
+	if err != nil { // the descriptor is closed already
+		a.recordFailure(err, 0)
 		return
 	}
-	if !taken || !conn.IsActive() { // it has no place, or ended before there was a callback to tell
+	if !taken || !conn.IsActive() { // refused, or closed before there was a callback to report it
 		_ = conn.Close()
 	}
 }
 
-// isOfOneConnection tells an error of accept(2) that is about the connection, not about this system: it was broken off, or the
-// network had an error for it that Linux hands over with it. The next one may be sound.
-func isOfOneConnection(err error) bool {
-	var no syscall.Errno
-	if !errors.As(err, &no) {
+// isConnectionError reports whether an error of accept(2) is about the connection and not about this system: it was
+// aborted, or Linux passes on a network error of it. The next connection may be sound.
+func isConnectionError(err error) bool {
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
 		return false
 	}
-	switch no {
+	switch errno {
 	case syscall.ECONNABORTED, syscall.EINTR, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
 		syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT:
 		return true
--- a/controller/memory_test.go
+++ b/controller/memory_test.go
@@ -8,70 +8,72 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// TestResultsBeyondMemory: pages of results are taken in up to half of the memory, and a request beyond that gets its answer at once.
+// TestResultsBeyondMemory: result pages may take up to half of the memory. A job beyond that is not left without an
+// answer: its connection fails at once, and the next attempt serves it.
 func TestResultsBeyondMemory(t *testing.T) {
-	e := newStandIn(t, "127.0.0.1:0")
-	b := start(t, "", e)
-	k := b.client()
-	k.asks(1, "select 1", "class", "load", "id", "0000000000000001", "wait", "2900", "once", "a")
-	serve := e.hears("serve")
+	e := newFakeEngine(t, "127.0.0.1:0")
+	b := startController(t, "", e)
+	cl := b.connect()
+	cl.sendJob(1, "select 1", "class", "load", "id", "0000000000000001", "wait", "2900", "once", "a")
+	serve := e.expectCommand("serve")
 	half := b.c.cfg.MemoryMB << 20 / 2
-	b.c.do(func() { b.c.bytes += half }) // others' pages
+	b.c.withLock(func() { b.c.jobBytes += half }) // pages of other jobs
 	serve.answer("HIT", "ticks=1,footprint=1,count=2", rowA)
-	b.until(func() bool { return b.c.counts[enginesMisread] == 1 })
-	b.c.do(func() {
-		if b.c.bytes > half+100 {
-			t.Errorf("%d bytes beyond half of the memory", b.c.bytes-half)
+	b.waitUntil(func() bool { return b.c.counts[enginesMalformed] == 1 })
+	b.c.withLock(func() {
+		if b.c.jobBytes > half+100 {
+			t.Errorf("%d bytes beyond half of the memory", b.c.jobBytes-half)
 		}
-		b.c.bytes -= half
+		b.c.jobBytes -= half
 	})
-	again := e.hears("serve")
+	again := e.expectCommand("serve")
 	again.answer("HIT", "ticks=1,footprint=1,count=1", rowA)
-	k.gets(frame.Answer, 1, frame.Done, rowA)
+	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 }
 
-// TestUnreadAnswersShareQuarter: where connections hold a quarter of the memory, a client that reads nothing gets its even share of that.
+// TestUnreadAnswersShareQuarter: while connections hold a quarter of the memory, a client that reads nothing may hold
+// only its even share of it.
 func TestUnreadAnswersShareQuarter(t *testing.T) {
-	b := start(t, "")
-	b.client()
-	b.client()
-	share := int(b.c.cfg.MemoryMB<<20/4) / mostClients(b.c.cfg)
+	b := startController(t, "")
+	b.connect()
+	b.connect()
+	share := int(b.c.cfg.MemoryMB<<20/4) / maxClients(b.c.cfg)
 	for _, crowded := range []bool{false, true} {
-		for n := range 2 {
-			b.c.do(func() {
+		for index := range 2 {
+			b.c.withLock(func() {
 				if crowded {
-					b.c.held.Add(b.c.cfg.MemoryMB << 20 / 4)
-					defer b.c.held.Add(-b.c.cfg.MemoryMB << 20 / 4)
+					b.c.connBytes.Add(b.c.cfg.MemoryMB << 20 / 4)
+					defer b.c.connBytes.Add(-b.c.cfg.MemoryMB << 20 / 4)
 				}
-				id := sorted(b.c.clients)[n]
+				id := sorted(b.c.clients)[index]
 				size := 100
-				if n == 0 {
+				if index == 0 {
 					size = share + 1
 				}
-				b.c.clients[id].send(frame.IsReady, 902, 1, "", "", make([]byte, size))
-				if dropped := b.c.clients[id] == nil; dropped != (crowded && n == 0) {
-					t.Error(fmt.Sprint("crowded ", crowded, ", client ", n, ": dropped ", dropped))
+				b.c.clients[id].sendFrame(frame.IsReady, 902, 1, "", "", make([]byte, size))
+				if dropped := b.c.clients[id] == nil; dropped != (crowded && index == 0) {
+					t.Error(fmt.Sprint("crowded ", crowded, ", client ", index, ": dropped ", dropped))
 				}
 			})
 		}
 	}
 }
 
-// TestEnginesBeyondMemory: of a list that is longer than the memory has room for, as many engines are kept as that has.
+// TestEnginesBeyondMemory: from a list that is too long for the memory, as many engines are kept as fit.
 func TestEnginesBeyondMemory(t *testing.T) {
-	b := startWith(t, "", func(cfg *config.Config) { cfg.MemoryMB = 32 })
-	most := b.c.mostEngines()
-	if most < 3200 {
-		t.Fatal("no room for the longest list that operators have: ", most)
+	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.MemoryMB = 32 })
+	limit := b.c.maxEngines()
+	if limit < 3200 {
+		t.Fatal("no room for the operators' longest list: ", limit)
 	}
 	var all [][3]string
-	for n := range most + 100 {
+	for n := range limit + 100 {
 		all = append(all, [3]string{fmt.Sprint("x", n), fmt.Sprint("127.0.0.1:", 10000+n), "active"})
 	}
-	b.list.tell(true, all...)
-	b.until(func() bool { return len(b.c.engines) == most && b.c.counts[enginesOverLimit] == 100 })
-	b.list.tell(false, [3]string{"x0", "127.0.0.1:10000", "left"})
-	b.until(func() bool { return len(b.c.engines) == most-1 })
-	b.list.tell(false, [3]string{"y", "127.0.0.1:9999", "active"})
-	b.until(func() bool { return b.c.engines["y"] != nil })
+	b.discovery.publish(true, all...)
+	b.waitUntil(func() bool { return len(b.c.engines) == limit && b.c.counts[enginesOverLimit] == 100 })
+	b.discovery.publish(false, [3]string{"x0", "127.0.0.1:10000", "left"})
+	b.waitUntil(func() bool { return len(b.c.engines) == limit-1 })
+	b.discovery.publish(false, [3]string{"y", "127.0.0.1:9999", "active"})
+	b.waitUntil(func() bool { return b.c.engines["y"] != nil })
 }
--- a/controller/reading.go
+++ b/controller/reading.go
@@ -12,18 +12,18 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// netpoll reads all that a peer sends as fast as it comes, and calls back on another goroutine: a peer that sends faster than it is
-// handled fills the memory. Here netpoll's poller waits until the callback has taken what was read; the rest stays in the kernel,
-// which has the peer wait.
-var reading = newReadTurns()
+// netpoll reads everything that a peer sends as fast as it arrives, and calls back on another goroutine: a peer that
+// sends faster than its input is handled would fill the memory. With this runner netpoll's poller waits until the
+// callback has consumed what was read; the rest stays in the kernel, whose flow control slows the peer down.
+var runner = newReadRunner()
 
 func init() {
-	if err := netpoll.Configure(netpoll.Config{Runner: reading.run, LoggerOutput: netpollLog{}}); err != nil {
-		panic(err) // the library's own terms of use are broken
+	if err := netpoll.Configure(netpoll.Config{Runner: runner.run, LoggerOutput: netpollLog{}}); err != nil {
+		panic(err) // the configuration violates the library's own contract
 	}
 }
 
-// netpollLog has what netpoll logs go where all else does.
+// netpollLog redirects netpoll's log to slog.
 type netpollLog struct{}
 
 func (netpollLog) Write(line []byte) (int, error) {
@@ -31,54 +31,56 @@
 	return len(line), nil
 }
 
-// readTurns are the callbacks of netpoll that run. netpoll tells its runner nothing of the connection, so one turn at a time enters its
-// callback, which tells whose it is. A turn in which its connection ends is over before that end, as that needs netpoll's poller.
-type readTurns struct {
-	tasks    chan func()   // to goroutines that have nothing to do
-	entrance chan struct{} // holds one item while a turn enters its callback
-
-	mu       sync.Mutex
-	open     map[*readTurn]bool
-	entering *readTurn
-	of       map[*link]*readTurn // the newest of each connection
-	overdue  int64               // turns that netpoll's poller did not wait for any longer
+// readRunner runs netpoll's callbacks. netpoll does not tell its runner which connection a callback belongs to, so only
+// one task at a time may be starting its callback, which identifies the connection. A task in which its connection closes
+// is released before the close, because that needs netpoll's poller.
+type readRunner struct {
+	tasks chan func()   // to idle worker goroutines
+	entry chan struct{} // holds one item while a task is starting its callback
+
+	mu           sync.Mutex
+	running      map[*readTask]bool  // all tasks that are not finished
+	starting     *readTask           // has not identified its connection yet, or nil
+	latest       map[*link]*readTask // the newest task of each connection
+	overdueTasks int64               // tasks for which netpoll's poller stopped waiting
 }
 
-// readTurn is netpoll's calls for one connection until nothing of what was read is left.
-type readTurn struct {
-	link *link         // nil where it is not known
-	over chan struct{} // closed when netpoll's poller may go on
-	ends bool          // it is closed
+// readTask is netpoll's calls for one connection until everything that was read is consumed.
+type readTask struct {
+	link     *link         // nil if it is unknown
+	done     chan struct{} // closed when netpoll's poller may continue
+	released bool          // done is closed
 }
 
-func newReadTurns() *readTurns {
-	return &readTurns{tasks: make(chan func()), entrance: make(chan struct{}, 1), open: map[*readTurn]bool{}, of: map[*link]*readTurn{}}
+func newReadRunner() *readRunner {
+	return &readRunner{tasks: make(chan func()), entry: make(chan struct{}, 1), running: map[*readTask]bool{}, latest: map[*link]*readTask{}}
 }
 
-// mostTurn is how long netpoll's poller waits for one callback: seconds of a process that hardly runs. After that it goes on.
-const mostTurn = 2 * time.Second
+// maxPollerWait is how long netpoll's poller waits for one callback: long enough for a process that hardly gets CPU time.
+// After that the poller continues.
+const maxPollerWait = 2 * time.Second
 
 // run is netpoll's runner.
-func (r *readTurns) run(_ context.Context, callback func()) {
-	t := &readTurn{over: make(chan struct{})}
-	r.entrance <- struct{}{}
+func (r *readRunner) run(_ context.Context, callback func()) {
+	task := &readTask{done: make(chan struct{})}
+	r.entry <- struct{}{}
 	r.mu.Lock()
-	r.open[t], r.entering = true, t
+	r.running[task], r.starting = true, task
 	r.mu.Unlock()
-	r.start(func() { r.turn(t, callback) })
-	late := time.NewTimer(mostTurn)
-	defer late.Stop()
+	r.submit(func() { r.runTask(task, callback) })
+	timeout := time.NewTimer(maxPollerWait)
+	defer timeout.Stop()
 	select {
-	case <-t.over:
-	case <-late.C:
+	case <-task.done:
+	case <-timeout.C:
 		r.mu.Lock()
-		r.overdue++
+		r.overdueTasks++
 		r.mu.Unlock()
 	}
 }
 
-// start has a goroutine that is idle, or a new one, do a task. There are as many as there were turns at once.
-func (r *readTurns) start(task func()) {
+// submit runs a task on an idle worker goroutine, or on a new one. There are as many workers as there were tasks at once.
+func (r *readRunner) submit(task func()) {
 	select {
 	case r.tasks <- task:
 	default:
@@ -90,81 +92,86 @@
 	}
 }
 
-func (r *readTurns) turn(t *readTurn, callback func()) {
-	defer r.end(t)
+// runTask runs a callback and finishes its task, also after a panic.
+func (r *readRunner) runTask(task *readTask, callback func()) {
+	defer r.finish(task)
 	defer func() {
-		if why := recover(); why != nil { // netpoll closes the connection
-			slog.Error("panic in a callback", "why", fmt.Sprint(why), "stack", string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil { // netpoll closes the connection
+			slog.Error("panic in a callback", "why", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 		}
 	}()
 	callback()
 }
 
-func (r *readTurns) end(t *readTurn) {
+// finish releases the poller and removes a task.
+func (r *readRunner) finish(task *readTask) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.letOn(t)
-	if r.entering == t {
-		r.hasEntered()
+	r.release(task)
+	if r.starting == task {
+		r.leaveEntry()
 	}
-	delete(r.open, t)
-	if r.of[t.link] == t {
-		delete(r.of, t.link)
+	delete(r.running, task)
+	if r.latest[task.link] == task {
+		delete(r.latest, task.link)
 	}
 }
 
-// letOn has netpoll's poller wait for a turn no longer.
-func (r *readTurns) letOn(t *readTurn) {
-	if !t.ends {
-		t.ends = true
-		close(t.over)
+// release lets netpoll's poller continue.
+func (r *readRunner) release(task *readTask) {
+	if !task.released {
+		task.released = true
+		close(task.done)
 	}
 }
 
-func (r *readTurns) hasEntered() {
-	r.entering = nil
-	<-r.entrance
+// leaveEntry lets the next task start.
+func (r *readRunner) leaveEntry() {
+	r.starting = nil
+	<-r.entry
 }
 
-// enters tells that the callback of a connection runs, for the first time in its turn or again. Where an earlier turn of the connection
-// is open and another one enters, it may be either of them: whose the other one is then is not known.
-func (r *readTurns) enters(l *link) {
+// callbackStarted records which connection the current callback belongs to; a task may call it several times. While an
+// earlier task of the connection is still running and another one starts, the callback may belong to either of them: the
+// connection of the other one stays unknown.
+func (r *readRunner) callbackStarted(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.entering
-	if t == nil {
+	task := r.starting
+	if task == nil {
 		return
 	}
-	if r.of[l] == nil {
-		t.link, r.of[l] = l, t
+	if r.latest[l] == nil {
+		task.link, r.latest[l] = l, task
 	}
-	r.hasEntered()
+	r.leaveEntry()
 }
 
-// closes is called as a connection ends, by the callback that ran last or by whoever ended it.
-func (r *readTurns) closes(l *link) {
+// linkClosing is called when a connection closes, by the callback that ran last or by whoever closed it.
+func (r *readRunner) linkClosing(l *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for t := range r.open {
-		if t.link == l || t.link == nil && t != r.entering { // one that enters has not come to its callback, and does
-			r.letOn(t)
+	for task := range r.running {
+		// A task that is starting has not reached its callback, and will.
+		if task.link == l || task.link == nil && task != r.starting {
+			r.release(task)
 		}
 	}
 }
 
-// begin has a connection call back with what comes. It is called under the controller's lock, right after the connection came up:
-// what netpoll reads before that does not wait in the kernel.
-func (r *readTurns) begin(l *link, onData func()) {
-	begun := make(chan bool, 1)
-	tell := sync.OnceFunc(func() { begun <- true })
-	go func() { // waits for the first callback, if anything has come already; whoever has the lock must not
+// register sets the callback for a connection's input. It is called under the controller's lock, right after the
+// connection was opened: what netpoll reads before that does not wait in the kernel.
+func (r *readRunner) register(l *link, onData func()) {
+	registered := make(chan bool, 1)
+	notify := sync.OnceFunc(func() { registered <- true })
+	go func() { // waits for the first callback if input has already arrived, which the holder of the lock must not do
 		_ = l.conn.SetOnRequest(func(context.Context, netpoll.Connection) error {
-			r.enters(l)
-			tell()
+			r.callbackStarted(l)
+			notify()
 			onData()
 			return nil
 		})
-		tell()
+		notify()
 	}()
-	<-begun
+	<-registered
 }
--- a/controller/reading_test.go
+++ b/controller/reading_test.go
@@ -12,20 +12,20 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// ready asks whether the controller is, and is told so.
-func (k conn) ready() {
-	k.t.Helper()
-	k.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
-	k.gets(frame.IsReady, 901, 1, "")
+// expectReady asks whether the controller is ready, and requires that it is.
+func (cl testClient) expectReady() {
+	cl.t.Helper()
+	cl.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
+	cl.expectFrame(frame.IsReady, 901, 1, "")
 }
 
-// linkOf is the other side of a client's connection; it is for under the lock.
-func (b *bed) linkOf(k conn) *link {
+// linkOf returns the controller's side of a client's connection. It must be called under the lock.
+func (b *testbed) linkOf(cl testClient) *link {
 	b.t.Helper()
 	for _, id := range sorted(b.c.clients) {
 		l := b.c.clients[id].link
 		peer, err := syscall.Getpeername(l.conn.(netpoll.Conn).Fd())
-		if address, is := peer.(*syscall.SockaddrInet4); err == nil && is && address.Port == k.LocalAddr().(*net.TCPAddr).Port {
+		if address, is := peer.(*syscall.SockaddrInet4); err == nil && is && address.Port == cl.LocalAddr().(*net.TCPAddr).Port {
 			return l
 		}
 	}
@@ -33,123 +33,126 @@
 	return nil
 }
 
-// TestFloodStaysInKernel: while the controller is held up, a peer that goes on sending does not fill its memory.
+// TestFloodStaysInKernel: a peer that keeps sending while the controller is held up does not fill its memory.
 func TestFloodStaysInKernel(t *testing.T) {
-	b := start(t, "")
-	k := b.client()
-	b.c.do(func() {
-		_ = k.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-		_, _ = k.Write(frame.AppendHead(nil, frame.Job, 2, frame.MaxLength-frame.MinLength))
-		for piece, sent := make([]byte, 1<<20), 0; sent < 60; sent++ {
-			if _, err := k.Write(piece); err != nil {
+	b := startController(t, "")
+	cl := b.connect()
+	b.c.withLock(func() {
+		_ = cl.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
+		_, _ = cl.Write(frame.AppendHead(nil, frame.Job, 2, frame.MaxLength-frame.MinLength))
+		for chunk, sent := make([]byte, 1<<20), 0; sent < 60; sent++ {
+			if _, err := cl.Write(chunk); err != nil {
 				break
 			}
 		}
-		if n := b.linkOf(k).conn.Reader().Len(); n > mostRead {
+		if n := b.linkOf(cl).conn.Reader().Len(); n > maxReadBytes {
 			t.Errorf("%d bytes wait in the process", n)
 		}
 	})
 }
 
-// TestCloseWithinCallback: a connection that ends while its callback runs does not hold up netpoll's poller.
+// TestCloseWithinCallback: a connection that closes while its callback runs does not block netpoll's poller.
 func TestCloseWithinCallback(t *testing.T) {
-	b := start(t, "")
+	b := startController(t, "")
 	for range 20 {
-		k, other := b.client(), b.client()
-		b.c.do(func() {
-			k.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
-			l := b.linkOf(k)
-			for late := time.Now().Add(patience); !l.busy.Load() && time.Now().Before(late); {
+		cl, other := b.connect(), b.connect()
+		b.c.withLock(func() {
+			cl.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
+			l := b.linkOf(cl)
+			for deadline := time.Now().Add(testTimeout); !l.readWaiting.Load() && time.Now().Before(deadline); {
 				time.Sleep(100 * time.Microsecond) // until its callback waits for the lock
 			}
 			_ = l.conn.Close()
 		})
-		from := time.Now()
-		other.ready()
-		if took := time.Since(from); took > mostTurn/2 {
+		start := time.Now()
+		other.expectReady()
+		if took := time.Since(start); took > maxPollerWait/2 {
 			t.Errorf("another client was answered after %v", took)
 		}
 		_ = other.Close()
 	}
-	reading.mu.Lock()
-	defer reading.mu.Unlock()
-	if reading.overdue > 0 {
-		t.Error(reading.overdue, "turns were not waited for to their end")
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	if runner.overdueTasks > 0 {
+		t.Error(runner.overdueTasks, "tasks were not waited for to their end")
 	}
 }
 
-// TestCallbackThatHangs: netpoll's poller goes on after a while, and a callback that panics ends its turn.
+// TestCallbackThatHangs: netpoll's poller continues after a while if a callback hangs, and a callback that panics
+// finishes its task.
 func TestCallbackThatHangs(t *testing.T) {
-	r := newReadTurns()
-	hangs := make(chan bool)
-	from := time.Now()
-	r.run(context.Background(), func() { <-hangs })
-	if took := time.Since(from); took < mostTurn || r.overdue != 1 {
-		t.Errorf("waited %v, %d overdue", took, r.overdue)
+	r := newReadRunner()
+	block := make(chan bool)
+	start := time.Now()
+	r.run(context.Background(), func() { <-block })
+	if took := time.Since(start); took < maxPollerWait || r.overdueTasks != 1 {
+		t.Errorf("waited %v, %d overdue", took, r.overdueTasks)
 	}
-	close(hangs)
-	from = time.Now()
+	close(block)
+	start = time.Now()
 	r.run(context.Background(), func() { panic("test") })
-	if took := time.Since(from); took > mostTurn/2 {
+	if took := time.Since(start); took > maxPollerWait/2 {
 		t.Errorf("waited %v for a panic", took)
 	}
 }
 
-// TestHalfMessagesOfManyClients: what many clients have begun and not ended has a bound, and is given back.
+// TestHalfMessagesOfManyClients: the memory for incomplete messages of many clients is bounded, and released later.
 func TestHalfMessagesOfManyClients(t *testing.T) {
-	b := start(t, "")
-	var all []conn
+	b := startController(t, "")
+	var all []testClient
 	half := make([]byte, frame.MaxLength-100)
-	for range 24 { // 24 times 256 KiB, half of the bound of 12 MB, doubled at most as it grows
-		k := b.client()
-		k.write(frame.AppendHead(nil, frame.Job, 1, frame.MaxLength-frame.MinLength), half)
-		all = append(all, k)
+	for range 24 { // 24 times 256 KiB, half of the bound of 12 MB, as a buffer at most doubles when it grows
+		cl := b.connect()
+		cl.write(frame.AppendHead(nil, frame.Job, 1, frame.MaxLength-frame.MinLength), half)
+		all = append(all, cl)
 	}
-	b.until(func() bool { return b.c.held.Load() >= int64(len(all)*len(half)) || b.c.counts[clientsMisread] > 0 })
-	b.c.do(func() {
-		if held := b.c.held.Load(); held > b.c.cfg.MemoryMB<<20/16+2*frame.MaxLength {
+	b.waitUntil(func() bool {
+		return b.c.connBytes.Load() >= int64(len(all)*len(half)) || b.c.counts[clientsMalformed] > 0
+	})
+	b.c.withLock(func() {
+		if held := b.c.connBytes.Load(); held > b.c.cfg.MemoryMB<<20/16+2*frame.MaxLength {
 			t.Errorf("%d bytes held", held)
 		}
 	})
-	for _, k := range all { // ends that message, and begins another with one byte
-		k.write(make([]byte, 96+1))
+	for _, cl := range all { // completes that message, and begins another with one byte
+		cl.write(make([]byte, 96+1))
 	}
-	b.until(func() bool { return b.c.held.Load() <= int64(len(all))*maxRest })
+	b.waitUntil(func() bool { return b.c.connBytes.Load() <= int64(len(all))*maxIdleBuffer })
 }
 
-// TestOtherCloseKeepsTurn: the end of one connection does not have netpoll's poller go on within the turn of another.
+// TestOtherCloseKeepsTurn: when one connection closes, netpoll's poller still waits for the task of another.
 func TestOtherCloseKeepsTurn(t *testing.T) {
-	r, own, other := newReadTurns(), &link{}, &link{}
+	r, own, other := newReadRunner(), &link{}, &link{}
 	began, enter, entered, finish := make(chan bool), make(chan bool), make(chan bool), make(chan bool)
-	over := make(chan bool)
+	returned := make(chan bool)
 	go func() {
 		r.run(context.Background(), func() {
 			close(began)
 			<-enter
-			r.enters(own)
+			r.callbackStarted(own)
 			close(entered)
 			<-finish
 		})
-		close(over)
+		close(returned)
 	}()
-	waits := func(when string) {
+	expectWaiting := func(when string) {
 		select {
-		case <-over:
-			t.Error("netpoll's poller goes on ", when)
+		case <-returned:
+			t.Error("netpoll's poller continues ", when)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 	<-began
-	r.closes(other)
-	waits("before the callback has told whose it is")
+	r.linkClosing(other)
+	expectWaiting("before the callback has identified its connection")
 	close(enter)
 	<-entered
-	r.closes(other)
-	waits("in the callback")
-	r.closes(own)
+	r.linkClosing(other)
+	expectWaiting("during the callback")
+	r.linkClosing(own)
 	select {
-	case <-over:
-	case <-time.After(mostTurn / 2):
+	case <-returned:
+	case <-time.After(maxPollerWait / 2):
 		t.Error("netpoll's poller waits although the connection ends")
 	}
 	close(finish)
--- a/controller/reload_test.go
+++ b/controller/reload_test.go
@@ -20,16 +20,16 @@
 	"yarrowbarrow/internal/resp"
 )
 
-// quickEngine answers each job at once, and keeps when each came.
+// quickEngine answers each job at once, and records when each arrived.
 type quickEngine struct {
-	ln   net.Listener
-	mu   sync.Mutex
-	seen map[string]time.Time
+	ln         net.Listener
+	mu         sync.Mutex
+	receivedAt map[string]time.Time
 }
 
 func newQuickEngine(t *testing.T) *quickEngine {
-	e := &quickEngine{seen: map[string]time.Time{}}
-	e.ln = listen(t, "127.0.0.1:0", func(conn net.Conn) {
+	e := &quickEngine{receivedAt: map[string]time.Time{}}
+	e.ln = serveConns(t, "127.0.0.1:0", func(conn net.Conn) {
 		var data []byte
 		for buf := make([]byte, 64<<10); ; {
 			n, err := conn.Read(buf)
@@ -51,7 +51,7 @@
 					answer = []string{id, "PONG", "-", ""}
 				case "serve":
 					e.mu.Lock()
-					e.seen[id] = time.Now()
+					e.receivedAt[id] = time.Now()
 					e.mu.Unlock()
 				default:
 					continue
@@ -69,43 +69,43 @@
 	return e
 }
 
-// versionText is version n of the routes: the quick pool is one of three engines in turn, another is its fallback, and
-// the third one's pool is not there at all. Each version's route is of its own name.
-func versionText(n int) string {
+// routesVersion returns version n of the routes. The main pool is one of three engines in turn, another engine is the
+// fallback, and the third one has no pool. The route's name is different in each version.
+func routesVersion(n int) string {
 	a, b := n%3, (n+1)%3
 	return fmt.Sprintf("[route \"v%d\"]\npool = p%d\nfallback = p%d\n[pool \"p%d\"]\nid = e%d\n[pool \"p%d\"]\nid = e%d\n", n, a, b, a, a, b, b)
 }
 
-// TestReloadUnderLoad: 200 reloads while 20,000 jobs pass, among them faulty files, pools that are gone and swapped
-// fallbacks. Each job gets one answer, none goes to a pool that a version took away 2 s before, each is routed by the
-// version that it was taken under, and no version is kept. A job whose version's pools are all gone by two further
-// reloads is rejected at once, as it is nowhere to go.
+// TestReloadUnderLoad: 200 reloads during 20,000 jobs, among them invalid files, removed pools and swapped fallbacks.
+// Each job gets one answer, none reaches a pool more than 2 s after a version removed it, each is routed by the version
+// that was current when it was accepted, and no old version is kept. A job whose version's pools have all been removed by
+// two further reloads is rejected at once, as there is no engine for it.
 func TestReloadUnderLoad(t *testing.T) {
 	const reloads, jobs, clients = 200, 20_000, 16
 	engines := []*quickEngine{newQuickEngine(t), newQuickEngine(t), newQuickEngine(t)}
-	discovery := newList(t)
-	discovery.tell(true, [3]string{"e0", engines[0].ln.Addr().String(), "active"},
+	discovery := newFakeDiscovery(t)
+	discovery.publish(true, [3]string{"e0", engines[0].ln.Addr().String(), "active"},
 		[3]string{"e1", engines[1].ln.Addr().String(), "active"}, [3]string{"e2", engines[2].ln.Addr().String(), "active"})
-	b := startWith(t, "", func(cfg *config.Config) {
-		cfg.Plan, cfg.Discovery, cfg.Known, cfg.Sockets = planOf(t, versionText(0)), discovery.ln.Addr().String(), []byte(discovery.text(0)), 256
+	b := startWithConfig(t, "", func(cfg *config.Config) {
+		cfg.Plan, cfg.Discovery, cfg.Known, cfg.Sockets = planOf(t, routesVersion(0)), discovery.ln.Addr().String(), []byte(discovery.eventsAfter(0)), 256
 	})
-	b.client()
-	before := heapHeld()
+	b.connect()
+	before := heapBytes()
 	var mu sync.Mutex
-	goneAt := map[int][][2]time.Time{2: {{time.Now()}}} // by engine: spans in which its pool was gone
+	removedAt := map[int][][2]time.Time{2: {{time.Now()}}} // by engine: times in which it had no pool
 	stop := make(chan struct{})
 	var reloaded sync.WaitGroup
 	plans := make([]*route.Plan, reloads+1)
 	for n := range plans {
-		plans[n] = planOf(t, versionText(n))
+		plans[n] = planOf(t, routesVersion(n))
 	}
 	reloaded.Add(1)
 	go func() {
 		defer reloaded.Done()
 		for n := 1; n <= reloads; n++ {
-			if n%5 == 0 { // a faulty one changes nothing
+			if n%5 == 0 { // an invalid configuration changes nothing
 				if err := b.c.Reload(func() (config.Config, error) { return config.Config{}, errors.New("operator.conf:1:1: error") }); err == nil {
-					t.Error("taken")
+					t.Error("invalid configuration accepted")
 				}
 			}
 			_ = b.c.Reload(func() (config.Config, error) {
@@ -115,12 +115,12 @@
 			})
 			mu.Lock()
 			now, left, back := time.Now(), (n+2)%3, (n+1)%3
-			goneAt[left] = append(goneAt[left], [2]time.Time{now})
-			if spans := goneAt[back]; len(spans) > 0 && spans[len(spans)-1][1].IsZero() {
+			removedAt[left] = append(removedAt[left], [2]time.Time{now})
+			if spans := removedAt[back]; len(spans) > 0 && spans[len(spans)-1][1].IsZero() {
 				spans[len(spans)-1][1] = now
 			}
 			mu.Unlock()
-			if n%40 == 0 { // long enough that a late attempt would show
+			if n%40 == 0 { // long enough for a late attempt to show
 				time.Sleep(2200 * time.Millisecond)
 			} else {
 				time.Sleep(10 * time.Millisecond)
@@ -128,7 +128,7 @@
 		}
 		close(stop)
 	}()
-	var answered, doubled, served, wrong atomic.Int64
+	var answered, misdirected, served, otherCode atomic.Int64
 	var all sync.WaitGroup
 	for c := range clients {
 		all.Add(1)
@@ -141,7 +141,7 @@
 			}
 			defer conn.Close()
 			stream := uint32(0)
-			for n := 0; n < jobs/clients || !closed(stop); n++ {
+			for n := 0; n < jobs/clients || !isClosed(stop); n++ {
 				if n >= jobs/clients && n%4 == 0 {
 					time.Sleep(time.Millisecond)
 				}
@@ -151,7 +151,7 @@
 					t.Error(err)
 					return
 				}
-				_ = conn.SetReadDeadline(time.Now().Add(patience))
+				_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 				head := make([]byte, frame.HeadSize)
 				if _, err := io.ReadFull(conn, head); err != nil {
 					t.Error("no answer: ", err)
@@ -163,26 +163,26 @@
 					return
 				}
 				if got := uint32(head[5])<<24 + uint32(head[6])<<16 + uint32(head[7])<<8 + uint32(head[8]); got != stream {
-					doubled.Add(1)
+					misdirected.Add(1)
 				}
 				answered.Add(1)
 				if body[0] == frame.Done {
 					served.Add(1)
 				} else if body[0] != frame.Rejected {
-					wrong.Add(1)
+					otherCode.Add(1)
 				}
 			}
 		}()
 	}
 	all.Wait()
 	reloaded.Wait()
-	if doubled.Load() > 0 || wrong.Load() > 0 || answered.Load() < jobs || served.Load() < answered.Load()*9/10 {
-		t.Errorf("%d answers, %d in time, %d doubled, %d of another code", answered.Load(), served.Load(), doubled.Load(), wrong.Load())
+	if misdirected.Load() > 0 || otherCode.Load() > 0 || answered.Load() < jobs || served.Load() < answered.Load()*9/10 {
+		t.Errorf("%d answers, %d done, %d with a wrong stream, %d with another code", answered.Load(), served.Load(), misdirected.Load(), otherCode.Load())
 	}
 	late := time.Duration(0)
 	for n, e := range engines {
-		for _, at := range e.seen {
-			for _, span := range goneAt[n] {
+		for _, at := range e.receivedAt {
+			for _, span := range removedAt[n] {
 				if at.After(span[0]) && (span[1].IsZero() || at.Before(span[1])) {
 					late = max(late, at.Sub(span[0]))
 				}
@@ -190,20 +190,20 @@
 		}
 	}
 	if late > 2*time.Second {
-		t.Error("a job reached the engine of a pool ", late, " after it was taken away")
+		t.Error("a job reached the engine of a pool ", late, " after the pool was removed")
 	}
-	b.c.do(func() {
+	b.c.withLock(func() {
 		if kept, open := b.c.router.Versions(); kept != 1 || open != 0 || len(b.c.jobs) > 0 {
 			t.Error(kept, "versions kept,", open, "jobs")
 		}
 	})
-	if after := heapHeld(); after > before+8<<20 {
+	if after := heapBytes(); after > before+8<<20 {
 		t.Errorf("%d KB held, %d KB before", after>>10, before>>10)
 	}
-	t.Logf("%d answers, %d done, longest after a pool was gone %v", answered.Load(), served.Load(), late)
+	t.Logf("%d answers, %d done, latest job at the engine of a removed pool after %v", answered.Load(), served.Load(), late)
 }
 
-func closed(c chan struct{}) bool {
+func isClosed(c chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -212,7 +212,7 @@
 	}
 }
 
-func heapHeld() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -220,15 +220,15 @@
 	return m.HeapAlloc
 }
 
-// TestReloadFiles: a SIGHUP reads the operators' file; a faulty one is named with its line, and changes nothing.
+// TestReloadFiles: a reload reads the operators' file. An invalid file is reported with its line, and changes nothing.
 func TestReloadFiles(t *testing.T) {
 	dir := t.TempDir()
 	platform, operators := dir+"/config.json", dir+"/operator.conf"
-	e := newStandIn(t, "127.0.0.1:0")
+	e := newFakeEngine(t, "127.0.0.1:0")
 	var log strings.Builder
-	b := startWith(t, "", withRoutes(t, twoRoutes), e)
-	_ = b.client()
-	b.c.do(func() { b.c.log = slog.New(slog.NewTextHandler(&log, nil)) })
+	b := startWithConfig(t, "", withRoutes(t, twoRoutes), e)
+	_ = b.connect()
+	b.c.withLock(func() { b.c.log = slog.New(slog.NewTextHandler(&log, nil)) })
 	raw, err := os.ReadFile("../deploy/example.json")
 	if err != nil {
 		t.Fatal(err)
@@ -249,9 +249,9 @@
 	if err := b.c.Reload(read); err == nil || !strings.Contains(err.Error(), "operator.conf:5:11: error: minimum: 5s is a duration") {
 		t.Error(err)
 	}
-	b.c.do(func() {
+	b.c.withLock(func() {
 		if len(b.c.plan.Routes) != 2 {
-			t.Error("changed")
+			t.Error("an invalid file changed the routes")
 		}
 	})
 	if !strings.Contains(log.String(), "operator.conf:5:11") {
@@ -261,9 +261,9 @@
 	if err := b.c.Reload(read); err != nil {
 		t.Error(err)
 	}
-	b.c.do(func() {
+	b.c.withLock(func() {
 		if len(b.c.plan.Routes) != 1 {
-			t.Error("not taken")
+			t.Error("the corrected file was not applied")
 		}
 	})
 }
--- a/controller/timers.go
+++ b/controller/timers.go
@@ -6,66 +6,70 @@
 	"time"
 )
 
-// alarm is something to be done at a time. Alarms are never taken back: what they do looks whether it is still
-// wanted.
-type alarm struct {
-	at time.Duration
-	do func()
+// timerEvent is a call to be made at a time. Events are never cancelled: each call checks whether it is still needed.
+type timerEvent struct {
+	dueAt time.Duration
+	call  func()
 }
 
-type timers []alarm
+type timerHeap []timerEvent
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(a, b int) bool { return t[a].at < t[b].at }
-func (t timers) Swap(a, b int)      { t[a], t[b] = t[b], t[a] }
-func (t *timers) Push(a any)        { *t = append(*t, a.(alarm)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(a, b int) bool { return t[a].dueAt < t[b].dueAt }
+func (t timerHeap) Swap(a, b int)      { t[a], t[b] = t[b], t[a] }
+func (t *timerHeap) Push(a any)        { *t = append(*t, a.(timerEvent)) }
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
-	a := (*t)[last]
-	(*t)[last] = alarm{}
+	event := (*t)[last]
+	(*t)[last] = timerEvent{}
 	*t = (*t)[:last]
-	return a
+	return event
 }
 
-func (c *Controller) at(when time.Duration, do func()) { heap.Push(&c.timers, alarm{when, do}) }
+// schedule has a call made, under the lock, at a time of the controller's clock.
+func (c *Controller) schedule(when time.Duration, call func()) {
+	heap.Push(&c.timers, timerEvent{when, call})
+}
 
-// keepTime waits for the one runtime timer, in one goroutine whose stack has grown once and for all.
-func (c *Controller) keepTime() {
-	for range c.timer.C {
-		c.do(c.ring)
+// runTimer waits for the single runtime timer, in one goroutine, whose stack therefore grows only once.
+func (c *Controller) runTimer() {
+	for range c.runtimeTimer.C {
+		c.withLock(c.runDue)
 	}
 }
 
-// ring does what is due.
-func (c *Controller) ring() {
-	if len(c.timers) > 0 && c.now-c.timers[0].at > lateAnswer {
-		c.counts[alarmsLate]++
-		c.note(slog.LevelWarn, "late", "by", c.now-c.timers[0].at)
+// runDue makes the calls that are due.
+func (c *Controller) runDue() {
+	if len(c.timers) > 0 && c.now-c.timers[0].dueAt > lateThreshold {
+		c.counts[timersLate]++
+		c.logEvent(slog.LevelWarn, "late", "by", c.now-c.timers[0].dueAt)
 	}
-	for len(c.timers) > 0 && c.timers[0].at <= c.now {
-		c.later(heap.Pop(&c.timers).(alarm).do)
+	for len(c.timers) > 0 && c.timers[0].dueAt <= c.now {
+		c.runLater(heap.Pop(&c.timers).(timerEvent).call)
 	}
 }
 
-// arm sets the one runtime timer to the next alarm.
-func (c *Controller) arm() {
-	if len(c.timers) > 0 && c.timer != nil {
-		c.timer.Reset(max(c.timers[0].at-c.now, 0))
+// armTimer sets the single runtime timer to the next event.
+func (c *Controller) armTimer() {
+	if len(c.timers) > 0 && c.runtimeTimer != nil {
+		c.runtimeTimer.Reset(max(c.timers[0].dueAt-c.now, 0))
 	}
 }
 
-// sweepEvery is fine enough for idle times of seconds, and for answers that break off.
-const sweepEvery = 100 * time.Millisecond
+// sweepInterval is fine enough for idle timeouts of seconds, and for answers that break off.
+const sweepInterval = 100 * time.Millisecond
 
-// countersEvery lets a log tell when something began; a line each time is little.
-const countersEvery = 10 * time.Second
+// counterLogInterval is fine enough to tell from the log when something began, and coarse enough that the lines cost
+// little.
+const counterLogInterval = 10 * time.Second
 
+// sweep closes idle connections, checks for answers that broke off, and logs the counters.
 func (c *Controller) sweep() {
-	c.at(c.now+sweepEvery, c.sweep) // first, as a fault must not end it
+	c.schedule(c.now+sweepInterval, c.sweep) // scheduled first, so that a panic does not end the sweeps
 	c.admission.Sweep(c.now)
 	c.sweepEngines()
-	if c.now >= c.logged+countersEvery {
+	if c.now >= c.countersLoggedAt+counterLogInterval {
 		c.logCounters()
-		c.aside(c.logUsage)
+		c.spawn(c.logUsage)
 	}
 }
--- a/controller/usage.go
+++ b/controller/usage.go
@@ -15,19 +15,19 @@
 	descriptors        int
 }
 
-// readUsage reads it; what the kernel does not tell is 0.
+// readUsage reads the current usage; what the kernel does not report is 0.
 func readUsage() (u usage) {
 	status, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(status)) {
 		name, value, _ := strings.Cut(line, ":")
-		n, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(value), "kB")), 10, 64)
+		number, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(value), "kB")), 10, 64)
 		switch name {
 		case "VmRSS":
-			u.residentKB = n
+			u.residentKB = number
 		case "VmHWM":
-			u.peakKB = n
+			u.peakKB = number
 		case "Threads":
-			u.threads = n
+			u.threads = number
 		}
 	}
 	if open, err := os.ReadDir("/proc/self/fd"); err == nil {
@@ -36,15 +36,15 @@
 	return u
 }
 
-// logUsage logs what the process takes, and what it holds for others. It reads files, so it is for without the lock.
+// logUsage logs what the process takes and what it holds for others. It reads files and must be called without the lock.
 func (c *Controller) logUsage() {
 	u := readUsage()
-	reading.mu.Lock()
-	overdue := reading.overdue
-	reading.mu.Unlock()
-	c.do(func() {
-		c.note(slog.LevelInfo, "usage", "resident_kb", u.residentKB, "peak_kb", u.peakKB, "limit_mb", c.cfg.MemoryMB, "threads", u.threads,
-			"descriptors", u.descriptors, "goroutines", runtime.NumGoroutine(), "connections_bytes", c.held.Load(), "jobs_bytes", c.bytes,
-			"lingering", c.lingering.Load(), "reads_overdue", overdue)
+	runner.mu.Lock()
+	overdue := runner.overdueTasks
+	runner.mu.Unlock()
+	c.withLock(func() {
+		c.logEvent(slog.LevelInfo, "usage", "resident_kb", u.residentKB, "peak_kb", u.peakKB, "limit_mb", c.cfg.MemoryMB, "threads", u.threads,
+			"descriptors", u.descriptors, "goroutines", runtime.NumGoroutine(), "connections_bytes", c.connBytes.Load(), "jobs_bytes", c.jobBytes,
+			"lingering", c.lingeringConns.Load(), "reads_overdue", overdue)
 	})
 }
--- a/controller/wallclock.go
+++ b/controller/wallclock.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// wallClock is Unix time. It may be stepped at any moment, so that nothing is timed by it: it is asked once as the process starts,
-// for a clock that only moves forward from there, and as discovery tells of an engine's start (decide/watch, Started). The lint
-// refuses it anywhere else.
+// wallClock returns Unix time. It may be stepped at any moment, so it is not used to measure time. It is read once at the
+// start of the process, as the origin of a clock that only moves forward, and when discovery reports an engine's start
+// (decide/watch, Started). The linter rejects any other use.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// clock is Unix time at the start and what the monotonic clock added since.
-func (c *Controller) clock() time.Duration { return c.bornUnix + time.Since(c.born) }
+// clock returns Unix time at the start plus the monotonic time since.
+func (c *Controller) clock() time.Duration { return c.startUnix + time.Since(c.startTime) }
--- a/controller/wallclock_test.go
+++ b/controller/wallclock_test.go
@@ -7,31 +7,32 @@
 	"yarrowbarrow/logic"
 )
 
-// TestWallClockStepped: the wall clock is stepped by an hour, forward and back, before an engine starts and after it is told of. Its
-// start is known as so long ago as it is, whatever is told of it again, and another process of it is known as another.
+// TestWallClockStepped: the wall clock is stepped by an hour or by seconds, forward and back, before an engine starts and
+// after discovery reports the engine. The controller derives the right age of the engine, keeps it when the same start is
+// reported again, and recognizes another process by its new start.
 func TestWallClockStepped(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
-		b := start(t, "", newStandIn(t, "127.0.0.1:0"))
-		b.c.do(func() {
+		b := startController(t, "", newFakeEngine(t, "127.0.0.1:0"))
+		b.c.withLock(func() {
 			stepped := step
-			b.c.system.wallClock = func() time.Duration { return b.c.now + stepped }
+			b.c.sys.wallClock = func() time.Duration { return b.c.now + stepped }
 			const age = 3 * time.Second
-			born := b.c.system.wallClock() - age
-			tell := func(born time.Duration) *engine {
-				b.c.engineListed("late", "127.0.0.1:1", "east", "std", 0, logic.Up, 1, born)
+			born := b.c.sys.wallClock() - age
+			update := func(born time.Duration) *engine {
+				b.c.updateEngine("late", "127.0.0.1:1", "east", "std", 0, logic.Up, 1, born)
 				return b.c.engines["late"]
 			}
 			want := b.c.now - age
-			if e := tell(born); e.started != want {
-				t.Errorf("step %v: started %v from what it is", step, e.started-want)
+			if e := update(born); e.startedAt != want {
+				t.Errorf("step %v: start time off by %v", step, e.startedAt-want)
 			}
 			stepped = 0
 			b.c.now += time.Second
-			if e := tell(born); e.started != want {
-				t.Errorf("step %v: moved by a later step by %v", step, e.started-want)
+			if e := update(born); e.startedAt != want {
+				t.Errorf("step %v: start time moved by %v after a later step", step, e.startedAt-want)
 			}
-			if e := tell(b.c.system.wallClock()); e.started != b.c.now {
-				t.Errorf("step %v: another process started %v from now", step, e.started-b.c.now)
+			if e := update(b.c.sys.wallClock()); e.startedAt != b.c.now {
+				t.Errorf("step %v: start time of another process off by %v", step, e.startedAt-b.c.now)
 			}
 		})
 	}
