--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -35,6 +35,7 @@
 	received chan command
 }
 
+// command is a command that a fake engine received, with its connection.
 type command struct {
 	conn  net.Conn
 	words []string
@@ -90,9 +91,9 @@
 	e.t.Helper()
 	for timeout := time.After(testTimeout); ; {
 		select {
-		case c := <-e.received:
-			if c.words[0] == verb {
-				return c
+		case cmd := <-e.received:
+			if cmd.words[0] == verb {
+				return cmd
 			}
 		case <-timeout:
 			e.t.Fatal("no command ", verb)
@@ -100,12 +101,13 @@
 	}
 }
 
-func (c command) answer(words ...string) {
+// answer sends an answer to the command's job.
+func (cmd command) answer(words ...string) {
 	line := resp.AppendArray(nil, 4)
-	for _, word := range append([]string{c.words[1]}, words...) {
+	for _, word := range append([]string{cmd.words[1]}, words...) {
 		line = resp.AppendWord(line, word)
 	}
-	_, _ = c.conn.Write(line)
+	_, _ = cmd.conn.Write(line)
 }
 
 // fakeDiscovery holds events and answers calls over HTTP.
@@ -170,6 +172,7 @@
 	d.changed = make(chan struct{})
 }
 
+// answerOnce replaces the next answer.
 func (d *fakeDiscovery) answerOnce(raw string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,6 +191,7 @@
 	runResult chan error
 }
 
+// startController starts a controller with the given engines. permissions is added to the permissions of the settings.
 func startController(t *testing.T, permissions string, engines ...*fakeEngine) *testbed {
 	return startWithConfig(t, permissions, nil, engines...)
 }
@@ -253,6 +257,7 @@
 	}
 }
 
+// testClient is a client's side of a connection to the controller.
 type testClient struct {
 	net.Conn
 	t *testing.T
@@ -298,6 +303,7 @@
 	cl.write(jobFrame(stream, body, fields...))
 }
 
+// sendQuickJob sends a job of class quick, whose id is the stream number.
 func (cl testClient) sendQuickJob(stream uint32, wait string) {
 	cl.sendJob(stream, "select 1", "class", "quick", "id", fmt.Sprintf("%016x", stream), "wait", wait)
 }
@@ -333,6 +339,7 @@
 	return fields
 }
 
+// expectClosed requires that the connection ends without further bytes.
 func (cl testClient) expectClosed() {
 	cl.t.Helper()
 	if n, err := cl.Read(make([]byte, 1)); err != io.EOF {
@@ -345,16 +352,16 @@
 	cl := startController(t, "", e).connect()
 	cl.sendJob(1, "select * from a_1.t\r\n*1", "class", "load", "id", "00000000000000a1", "wait", "2000", "once", "k1",
 		"memory", "100", "cost", "20.5")
-	c := e.expectCommand("serve")
-	if c.words[1] != "00000000000000a1" || c.words[3] != "select * from a_1.t\r\n*1" ||
-		!strings.HasPrefix(c.words[2], "class=load,wait=") || !strings.Contains(c.words[2], ",once=k1,heap=125") {
-		t.Errorf("%q", c.words)
+	cmd := e.expectCommand("serve")
+	if cmd.words[1] != "00000000000000a1" || cmd.words[3] != "select * from a_1.t\r\n*1" ||
+		!strings.HasPrefix(cmd.words[2], "class=load,wait=") || !strings.Contains(cmd.words[2], ",once=k1,heap=125") {
+		t.Errorf("%q", cmd.words)
 	}
-	c.answer("HIT", "count=3,ticks=20,footprint=96,stats=util:0.5", "a\tb\tc\n")
+	cmd.answer("HIT", "count=3,ticks=20,footprint=96,stats=util:0.5", "a\tb\tc\n")
 	e.expectCommand("read")
 	e.expectCommand("read")
-	c.answer("PART", "pos=2", "g\th\ti\n")
-	c.answer("PART", "pos=1", "d\te\tf\n")
+	cmd.answer("PART", "pos=2", "g\th\ti\n")
+	cmd.answer("PART", "pos=1", "d\te\tf\n")
 	cl.expectFrame(frame.Answer, 1, frame.Done, "a\tb\tc\nd\te\tf\ng\th\ti\n")
 	if r := e.expectCommand("release"); r.words[1] != "00000000000000a1" {
 		t.Error(r.words)
@@ -384,9 +391,9 @@
 		cl.sendQuickJob(1, "2900")
 		other := e.expectCommand("serve")
 		cl.sendQuickJob(2, "2900")
-		c := e.expectCommand("serve")
+		cmd := e.expectCommand("serve")
 		for n := 0; n < len(answers); n += 3 {
-			c.answer(answers[n : n+3]...)
+			cmd.answer(answers[n : n+3]...)
 		}
 		e.expectCommand("serve").answer("HIT", "count=1", rowB)
 		cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
@@ -400,15 +407,15 @@
 	e := newFakeEngine(t, "127.0.0.1:0")
 	cl := startController(t, "", e).connect()
 	cl.sendQuickJob(1, "2900")
-	c := e.expectCommand("serve")
-	stray := c
+	cmd := e.expectCommand("serve")
+	stray := cmd
 	stray.words = []string{"serve", "00000000000000ff"}
 	stray.answer("HIT", "count=1", rowB)
-	c.answer("HIT", "count=2", rowA)
-	c.answer("HIT", "count=2", rowA)
-	c.answer("PART", "pos=0", rowA)
-	c.answer("PART", "pos=1", rowB)
-	c.answer("PART", "pos=1", rowB)
+	cmd.answer("HIT", "count=2", rowA)
+	cmd.answer("HIT", "count=2", rowA)
+	cmd.answer("PART", "pos=0", rowA)
+	cmd.answer("PART", "pos=1", rowB)
+	cmd.answer("PART", "pos=1", rowB)
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowA+rowB)
 }
 
@@ -420,10 +427,10 @@
 		b := startController(t, "", e)
 		cl := b.connect()
 		cl.sendQuickJob(1, "2900")
-		if c := e.expectCommand("serve"); partial != "" {
-			_, _ = c.conn.Write([]byte(partial))
+		if cmd := e.expectCommand("serve"); partial != "" {
+			_, _ = cmd.conn.Write([]byte(partial))
 		} else {
-			c.answer("HIT", "count=2", rowA)
+			cmd.answer("HIT", "count=2", rowA)
 		}
 		start := time.Now()
 		e.expectCommand("serve").answer("HIT", "count=1", rowB)
@@ -438,12 +445,12 @@
 	e := newFakeEngine(t, "127.0.0.1:0")
 	cl := startController(t, `,"open_cap":1`, e).connect()
 	cl.sendQuickJob(1, "2000")
-	c := e.expectCommand("serve")
+	cmd := e.expectCommand("serve")
 	cl.sendQuickJob(2, "2000")
 	if fields := cl.expectFrame(frame.Answer, 2, frame.Rejected, ""); fields["after"] != "1000" {
 		t.Error(fields)
 	}
-	c.answer("HIT", "count=1", "")
+	cmd.answer("HIT", "count=1", "")
 	cl.expectFrame(frame.Answer, 1, frame.Done, "")
 }
 
@@ -451,16 +458,16 @@
 	a, b := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
 	cl := startController(t, "", a, b).connect()
 	cl.sendQuickJob(1, "2500")
-	var c command
+	var cmd command
 	other := a
 	select {
-	case c = <-a.received:
+	case cmd = <-a.received:
 		other = b
-	case c = <-b.received:
+	case cmd = <-b.received:
 	}
-	c.answer("HIT", "count=2", rowA)
-	_ = c.conn.(*net.TCPConn).SetLinger(0)
-	c.conn.Close()
+	cmd.answer("HIT", "count=2", rowA)
+	_ = cmd.conn.(*net.TCPConn).SetLinger(0)
+	cmd.conn.Close()
 	other.expectCommand("serve").answer("HIT", "count=1", rowB)
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 }
@@ -515,8 +522,8 @@
 	e.expectCommand("cancel")
 	fence := e.expectCommand("health")
 	select {
-	case c := <-e.received:
-		t.Error("sent before the fence was passed: ", c.words)
+	case cmd := <-e.received:
+		t.Error("sent before the fence was passed: ", cmd.words)
 	default:
 	}
 	fence.answer("PONG", "-", "")
@@ -530,8 +537,8 @@
 	cl.sendQuickJob(1, "2000")
 	e.expectCommand("serve")
 	cl.write(frame.AppendHead(nil, frame.Gone, 1, 0))
-	if c := e.expectCommand("cancel"); c.words[1] != "0000000000000001" {
-		t.Error(c.words)
+	if cmd := e.expectCommand("cancel"); cmd.words[1] != "0000000000000001" {
+		t.Error(cmd.words)
 	}
 	cl.sendQuickJob(2, "2000") // the next answer belongs to the next job
 	e.expectCommand("serve").answer("HIT", "count=1", rowB)
@@ -547,16 +554,16 @@
 	old := e.expectCommand("serve")
 	b.discovery.publish(false, [3]string{"e9", e.ln.Addr().String(), "active"}, [3]string{"e0", e.ln.Addr().String(), "left"})
 	cl.sendQuickJob(2, "2900")
-	c := e.expectCommand("serve")
-	if c.conn == old.conn && c.words[1] == "0000000000000002" {
+	cmd := e.expectCommand("serve")
+	if cmd.conn == old.conn && cmd.words[1] == "0000000000000002" {
 		// Sent before the change arrived; the next job is sent after it.
-		c.answer("HIT", "count=1", rowA)
+		cmd.answer("HIT", "count=1", rowA)
 		cl.expectFrame(frame.Answer, 2, frame.Done, rowA)
 		b.waitForEngine("e9")
 		cl.sendQuickJob(3, "2900")
-		c = e.expectCommand("serve")
+		cmd = e.expectCommand("serve")
 	}
-	if c.conn == old.conn {
+	if cmd.conn == old.conn {
 		t.Error("sent on the old engine's connection")
 	}
 }
@@ -617,8 +624,8 @@
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
 	select {
-	case c := <-from.received:
-		b.t.Error("sent to the old engine: ", c.words)
+	case cmd := <-from.received:
+		b.t.Error("sent to the old engine: ", cmd.words)
 	default:
 	}
 }
@@ -673,16 +680,16 @@
 	b := startController(t, "", e)
 	cl := b.connect()
 	cl.sendQuickJob(1, "2000")
-	c := e.expectCommand("serve")
+	cmd := e.expectCommand("serve")
 	b.stop()
 	cl.expectFrame(frame.NoMore, 0, 0, "")
 	cl.write(frame.AppendHead(nil, frame.Ready, 5, 1), []byte{0})
 	cl.expectFrame(frame.IsReady, 5, 2, "")
 	cl.sendQuickJob(2, "2000") // sent before the client learned of the stop
-	d := e.expectCommand("serve")
-	c.answer("HIT", "count=1", rowA)
+	second := e.expectCommand("serve")
+	cmd.answer("HIT", "count=1", rowA)
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
-	d.answer("HIT", "count=1", rowB)
+	second.answer("HIT", "count=1", rowB)
 	cl.expectFrame(frame.Answer, 2, frame.Done, rowB)
 	b.awaitExit()
 }
@@ -694,7 +701,7 @@
 	b := startController(t, "", e)
 	cl := b.connect()
 	cl.sendQuickJob(1, "2500")
-	c := e.expectCommand("serve")
+	cmd := e.expectCommand("serve")
 	b.stop()
 	cl.expectFrame(frame.NoMore, 0, 0, "")
 	b.waitUntil(func() bool { return b.c.phase == Leaving })
@@ -709,7 +716,7 @@
 	lateClient.expectFrame(frame.Answer, 3, frame.Rejected, "")
 	cl.sendQuickJob(2, "2000")
 	cl.expectFrame(frame.Answer, 2, frame.Rejected, "")
-	c.answer("HIT", "count=1", rowA)
+	cmd.answer("HIT", "count=1", rowA)
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowA)
 	b.awaitExit()
 }
@@ -790,9 +797,9 @@
 		}
 	}
 	other.sendJob(1, "select 1", "class", "quick", "id", "00000000000000ff", "wait", "2900")
-	for c := e.expectCommand("serve"); ; c = e.expectCommand("serve") {
-		c.answer("HIT", "count=1", rowA)
-		if c.words[1] == "00000000000000ff" {
+	for cmd := e.expectCommand("serve"); ; cmd = e.expectCommand("serve") {
+		cmd.answer("HIT", "count=1", rowA)
+		if cmd.words[1] == "00000000000000ff" {
 			break
 		}
 	}
@@ -857,9 +864,9 @@
 	e := newFakeEngine(t, "127.0.0.1:0")
 	cl := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Notes = true }, e).connect()
 	cl.sendQuickJob(1, "2900")
-	c := e.expectCommand("serve")
-	c.answer("FAR", "done=0.25", "")
-	c.answer("HIT", "count=1", rowB)
+	cmd := e.expectCommand("serve")
+	cmd.answer("FAR", "done=0.25", "")
+	cmd.answer("HIT", "count=1", rowB)
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 	cl = startController(t, "", e).connect()
 	cl.sendQuickJob(1, "2900")
--- a/controller/crossing_attempt_test.go
+++ b/controller/crossing_attempt_test.go
@@ -27,6 +27,7 @@
 	release chan struct{}
 }
 
+// holdDials makes all dials from now on wait at a gate.
 func (b *testbed) holdDials() dialGate {
 	g := dialGate{make(chan netip.AddrPort, 100), make(chan struct{}, 100)}
 	b.t.Cleanup(func() { close(g.release) })
@@ -53,11 +54,11 @@
 func (b *testbed) expectOnlyJob(e *fakeEngine, cl testClient, stream uint32) {
 	b.t.Helper()
 	cl.sendQuickJob(stream, "2900")
-	c := e.expectCommand("serve")
-	if id := c.words[1]; !strings.HasSuffix(id, string("0123456789abcdef"[stream])) {
+	cmd := e.expectCommand("serve")
+	if id := cmd.words[1]; !strings.HasSuffix(id, string("0123456789abcdef"[stream])) {
 		b.t.Error("unexpected job sent: ", id)
 	}
-	c.answer("HIT", "count=1", rowB)
+	cmd.answer("HIT", "count=1", rowB)
 	cl.expectFrame(frame.Answer, stream, frame.Done, rowB)
 }
 
@@ -270,10 +271,10 @@
 	}, e)
 	cl := b.connect()
 	cl.sendJob(1, "load 1", "class", "load", "id", "0000000000000001", "wait", "3600000", "once", "k")
-	c := e.expectCommand("serve")
+	cmd := e.expectCommand("serve")
 	g := b.holdDials()
-	_ = c.conn.(*net.TCPConn).SetLinger(0)
-	c.conn.Close()
+	_ = cmd.conn.(*net.TCPConn).SetLinger(0)
+	cmd.conn.Close()
 	g.awaitDial(t)
 	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
 	b.c.withLock(func() {
@@ -334,8 +335,8 @@
 	cl.expectFrame(frame.Answer, 1, frame.Done, rowB)
 	b.waitUntil(func() bool { return b.c.engines["e0"] == nil || len(b.c.engines["e0"].dials) == 0 })
 	select {
-	case c := <-e.received:
-		t.Error("sent to the removed engine: ", c.words)
+	case cmd := <-e.received:
+		t.Error("sent to the removed engine: ", cmd.words)
 	default:
 	}
 }
@@ -359,9 +360,9 @@
 		b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Classes[0].Repeat = logic.NonIdempotent }, e)
 		cl := b.connect()
 		cl.sendQuickJob(1, "2900")
-		c := e.expectCommand("serve")
-		c.answer("HIT", "count=2", rowA)
-		c.answer(word, "-", "")
+		cmd := e.expectCommand("serve")
+		cmd.answer("HIT", "count=2", rowA)
+		cmd.answer(word, "-", "")
 		cl.expectFrame(frame.Answer, 1, frame.Failed, "")
 		b.c.withLock(func() {
 			if b.c.counts[attemptsDecided] != 1 {
@@ -462,11 +463,11 @@
 	cl.write(frameOf(1, "a"), frameOf(2, "a"), frameOf(3, "b"), frameOf(4, "a"))
 	expectJob := func(stream uint32) command {
 		t.Helper()
-		c := e.expectCommand("serve")
-		if c.words[1] != fmt.Sprintf("%016x", stream) {
-			t.Fatal("unexpected job sent: ", c.words[1], ", wanted ", stream)
+		cmd := e.expectCommand("serve")
+		if cmd.words[1] != fmt.Sprintf("%016x", stream) {
+			t.Fatal("unexpected job sent: ", cmd.words[1], ", wanted ", stream)
 		}
-		return c
+		return cmd
 	}
 	first, other := e.expectCommand("serve"), e.expectCommand("serve") // on different connections, so in any order
 	if strings.HasSuffix(first.words[1], "3") {
--- a/controller/crossing_discovery_test.go
+++ b/controller/crossing_discovery_test.go
@@ -31,6 +31,7 @@
 	return ln.Addr().String(), calls
 }
 
+// sendEvents answers a call with a body.
 func sendEvents(t *testing.T, conn net.Conn, body string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body); err != nil {
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -84,7 +84,7 @@
 func TestPanicInReloadEndsProcess(t *testing.T) {
 	b := startController(t, "")
 	if err := b.c.Reload(func() (config.Config, error) { panic("for the test") }); err == nil {
-		t.Error("invalid configuration accepted")
+		t.Error("taken")
 	}
 	b.connect().expectReady()
 }
--- a/controller/host.go
+++ b/controller/host.go
@@ -12,6 +12,8 @@
 // host carries out the module's decisions. All methods are called under the lock, and none of them calls the module.
 type host struct{ c *Controller }
 
+// Attempt starts an attempt of a job on an engine. Its first byte must be sent within the given time, and its answer must
+// arrive before the timeout and the job's deadline.
 func (h host) Attempt(id logic.JobID, to logic.EngineID, timeout, within time.Duration) {
 	c, j := h.c, h.c.jobs[id]
 	if j == nil {
@@ -49,6 +51,7 @@
 	c.schedule(a.deadline, func() { c.attemptTimedOut(a) })
 }
 
+// SetTerms sets the memory grant and the priority of a job; an attempt in flight gets the new priority.
 func (h host) SetTerms(id logic.JobID, memoryMB float64, priority int) {
 	if j := h.c.jobs[id]; j != nil {
 		j.memoryMB, j.priority = int64(math.Ceil(memoryMB)), priority
@@ -58,6 +61,7 @@
 	}
 }
 
+// Recall abandons an attempt, if it is still the current one of its job.
 func (h host) Recall(id logic.JobID, number int) {
 	if j := h.c.jobs[id]; j != nil && j.inFlight != nil && j.inFlight.number == number {
 		a := j.inFlight
@@ -65,6 +69,7 @@
 	}
 }
 
+// Reject answers a job with a rejection.
 func (h host) Reject(id logic.JobID, retryAfter time.Duration) {
 	if j := h.c.jobs[id]; j != nil {
 		h.c.trace("rejected", "decided", "job", id, "attempts", j.attempts, "back_in", retryAfter)
@@ -73,6 +78,7 @@
 	}
 }
 
+// Fail answers a job with a failure.
 func (h host) Fail(id logic.JobID) {
 	if j := h.c.jobs[id]; j != nil {
 		h.c.trace("failed", "decided", "job", id, "attempts", j.attempts)
@@ -102,6 +108,7 @@
 // TellPeer only counts: this network gives controllers no way to talk to each other.
 func (h host) TellPeer(logic.PeerID, string) { h.c.counts[peerMessagesDropped]++ }
 
+// Suspects passes a suspicion about an engine, or its end, to the router.
 func (h host) Suspects(id logic.EngineID, suspected bool) {
 	if r := h.c.router; r != nil {
 		h.c.runLater(func() { r.EngineSuspected(h.c.now, route.EngineID(id), suspected) })
--- a/controller/link.go
+++ b/controller/link.go
@@ -373,6 +373,7 @@
 // netpoll was held back.
 const unreadMemoryDivisor = 32
 
+// errMemory is returned where input would take too much memory.
 var errMemory = errors.New("too much is being sent at once")
 
 // readMessages handles input, a bounded piece at a time: netpoll calls again at once while anything is left. parse parses
--- a/controller/reload_test.go
+++ b/controller/reload_test.go
@@ -105,7 +105,7 @@
 		for n := 1; n <= reloads; n++ {
 			if n%5 == 0 { // an invalid configuration changes nothing
 				if err := b.c.Reload(func() (config.Config, error) { return config.Config{}, errors.New("operator.conf:1:1: error") }); err == nil {
-					t.Error("invalid configuration accepted")
+					t.Error("taken")
 				}
 			}
 			_ = b.c.Reload(func() (config.Config, error) {
@@ -212,6 +212,7 @@
 	}
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -251,7 +252,7 @@
 	}
 	b.c.withLock(func() {
 		if len(b.c.plan.Routes) != 2 {
-			t.Error("an invalid file changed the routes")
+			t.Error("changed")
 		}
 	})
 	if !strings.Contains(log.String(), "operator.conf:5:11") {
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -25,12 +25,14 @@
 // because the router and the module must not be called from within each other.
 type routeHost struct{ c *Controller }
 
+// Admit records the lane of an admitted job. A nil lane does not restrict the engines.
 func (h routeHost) Admit(id route.JobID, lane *route.Lane) {
 	if j := h.c.jobs[logic.JobID(id)]; j != nil && lane != nil {
 		j.placement = placement{h.c, lane}
 	}
 }
 
+// Refuse rejects a job that its route does not admit.
 func (h routeHost) Refuse(id route.JobID, retryAfter time.Duration, why route.Reason) {
 	j := h.c.jobs[logic.JobID(id)]
 	if j == nil {
@@ -42,6 +44,7 @@
 	h.c.forgetJob(j)
 }
 
+// Move gives a job another lane and tells the module.
 func (h routeHost) Move(id route.JobID, lane *route.Lane) {
 	h.c.counts[movedByRoute]++
 	j := h.c.jobs[logic.JobID(id)]
@@ -56,6 +59,7 @@
 	})
 }
 
+// GiveUp tells the module that no pool will ever take a held job.
 func (h routeHost) GiveUp(id route.JobID) {
 	h.c.runLater(func() {
 		if j := h.c.jobs[logic.JobID(id)]; j != nil {
@@ -73,6 +77,7 @@
 	})
 }
 
+// WakeAfter wakes the router after a delay, unless it has been replaced by then.
 func (h routeHost) WakeAfter(delay time.Duration) {
 	r := h.c.router
 	h.c.schedule(h.c.now+delay, func() {
--- a/controller/routes_test.go
+++ b/controller/routes_test.go
@@ -27,6 +27,7 @@
 	return c.Plan
 }
 
+// withRoutes returns a configuration change that sets the routes.
 func withRoutes(t *testing.T, text string) func(*config.Config) {
 	return func(cfg *config.Config) { cfg.Plan = planOf(t, text) }
 }
@@ -43,6 +44,7 @@
 	}
 }
 
+// sendJobOfClass sends a job of a class with an idempotency key, and with more fields.
 func (cl testClient) sendJobOfClass(stream uint32, class string, more ...string) {
 	cl.sendJob(stream, "select 1", append([]string{"class", class, "id", "00000000000000" + strconv.FormatInt(int64(stream)+16, 16),
 		"wait", "2500", "once", "k" + strconv.Itoa(int(stream))}, more...)...)
@@ -143,7 +145,7 @@
 		}
 	})
 	if err := b.c.Reload(func() (config.Config, error) { return b.c.cfg, os.ErrInvalid }); err == nil {
-		t.Error("invalid configuration accepted")
+		t.Error("taken")
 	}
 	cl.sendJobOfClass(3, "quick") // by the version that is in effect
 	e1.expectCommand("serve").answer("HIT", "count=1", rowB)
