--- a/config/config.go
+++ b/config/config.go
@@ -37,25 +37,25 @@
 
 // FromEnvironment reads the file that BALANCER_CONFIG names; BALANCER_NAME and BALANCER_LISTEN go before it. The
 // operators' file is read and checked against it, where one is named.
-func FromEnvironment(operators string) (Config, error) {
+func FromEnvironment(operatorsPath string) (Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
-		return Config{}, faulty("BALANCER_CONFIG", path, "the path of the configuration file")
+		return Config{}, invalidValue("BALANCER_CONFIG", path, "the path of the configuration file")
 	}
 	raw, err := readFile(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	c, err := Read(raw, os.Getenv("BALANCER_NAME"), os.Getenv("BALANCER_LISTEN"))
-	if err == nil && operators != "" {
-		err = c.readOperators(operators)
+	cfg, err := Read(raw, os.Getenv("BALANCER_NAME"), os.Getenv("BALANCER_LISTEN"))
+	if err == nil && operatorsPath != "" {
+		err = cfg.loadOperators(operatorsPath)
 	}
-	return c, err
+	return cfg, err
 }
 
 // mostFile is the longest configuration in bytes: the longest list that discovery may tell, and as much again of settings as any
 // deployment has.
-const mostFile = 10 << 20
+const maxConfigBytes = 10 << 20
 
 // readFile reads a file, or a pipe, that may be of any length.
 func readFile(path string) ([]byte, error) {
@@ -64,17 +64,17 @@
 		return nil, err
 	}
 	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size() > mostFile {
-		return nil, fmt.Errorf("%d bytes, at most %d are read", info.Size(), mostFile)
+	if info, err := f.Stat(); err == nil && info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("%d bytes, at most %d are read", info.Size(), maxConfigBytes)
 	}
-	raw, err := io.ReadAll(io.LimitReader(f, mostFile+1))
-	if err == nil && len(raw) > mostFile {
-		err = fmt.Errorf("more than %d bytes", mostFile)
+	raw, err := io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
+	if err == nil && len(raw) > maxConfigBytes {
+		err = fmt.Errorf("more than %d bytes", maxConfigBytes)
 	}
 	return raw, err
 }
 
-func (c *Config) readOperators(path string) error {
+func (c *Config) loadOperators(path string) error {
 	platform := c.Platform()
 	loaded := lang.Load(path, &platform)
 	c.Plan, c.Fleet, c.Messages = loaded.Plan, loaded.Fleet, loaded.Messages
@@ -84,7 +84,7 @@
 // Read takes the file's text; a name and an address to listen on that are not empty go before the file's.
 func Read(raw []byte, name, listen string) (Config, error) {
 	// What a small machine of ours has, where nothing is said.
-	c := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
+	cfg := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
 	var file struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
@@ -99,49 +99,49 @@
 		} `json:"limits"`
 	}
 	if err := decode("", raw, &file); err != nil {
-		return c, err
-	}
-	c.Name, c.Listen, c.Discovery, c.Known = file.Name, file.Listen, file.Discovery, file.Known
-	override(&c.Name, name)
-	override(&c.Listen, listen)
-	set(&c.Cores, file.Limits.Cores)
-	set(&c.MemoryMB, file.Limits.MemoryMB)
-	set(&c.Sockets, file.Limits.Sockets)
+		return cfg, err
+	}
+	cfg.Name, cfg.Listen, cfg.Discovery, cfg.Known = file.Name, file.Listen, file.Discovery, file.Known
+	overrideIfSet(&cfg.Name, name)
+	overrideIfSet(&cfg.Listen, listen)
+	setIfPresent(&cfg.Cores, file.Limits.Cores)
+	setIfPresent(&cfg.MemoryMB, file.Limits.MemoryMB)
+	setIfPresent(&cfg.Sockets, file.Limits.Sockets)
 	seed, seedErr := strconv.ParseUint(file.Seed, 16, 64)
-	c.Seed = int64(seed)
+	cfg.Seed = int64(seed)
 	if len(file.Settings) == 0 {
-		return c, faulty("settings", "", "an object")
+		return cfg, invalidValue("settings", "", "an object")
 	}
-	if len(c.Known) == 0 {
-		return c, faulty("known", "", "the events of discovery up to now")
+	if len(cfg.Known) == 0 {
+		return cfg, invalidValue("known", "", "the events of discovery up to now")
 	}
 	var err error
-	if c.Settings, err = ReadSettings(file.Settings); err != nil {
-		return c, err
-	}
-	s := &c.Settings
-	return c, errors.Join(
-		check(c.Name != "", "name", c.Name, "a name"),
-		check(isAddress(c.Listen), "listen", c.Listen, "an address such as 127.0.0.1:5050"),
-		check(isAddress(c.Discovery), "feed", c.Discovery, "an address such as 127.0.0.1:7070"),
-		check(seedErr == nil, "seed", file.Seed, "up to 16 hex digits"),
-		check(c.Cores > 0 && c.Cores <= 1024, "limits.cores", c.Cores, "above 0 to 1024"),
-		check(c.MemoryMB >= 32, "limits.memory_mb", c.MemoryMB, "32 or more"),
-		check(c.Sockets >= 64, "limits.sockets", c.Sockets, "64 or more"),
-		check(s.ConnectTimeout > 0, "settings.permissions.connect_timeout", s.ConnectTimeout, "above 0"),
-		check(s.IdleClose >= 0, "settings.permissions.idle_close", s.IdleClose, "0 (never) or above"),
-		check(s.DrainGrace >= 0, "settings.safety.drain_grace", s.DrainGrace, "0 (not told) or above"),
-		check(s.Streams > 0, "settings.permissions.streams_per_conn", s.Streams, "1 or more"),
-		check(s.OpenCap >= 0, "settings.permissions.open_cap", s.OpenCap, "0 (no limit) or above"))
+	if cfg.Settings, err = ReadSettings(file.Settings); err != nil {
+		return cfg, err
+	}
+	settings := &cfg.Settings
+	return cfg, errors.Join(
+		checkValue(cfg.Name != "", "name", cfg.Name, "a name"),
+		checkValue(isAddress(cfg.Listen), "listen", cfg.Listen, "an address such as 127.0.0.1:5050"),
+		checkValue(isAddress(cfg.Discovery), "feed", cfg.Discovery, "an address such as 127.0.0.1:7070"),
+		checkValue(seedErr == nil, "seed", file.Seed, "up to 16 hex digits"),
+		checkValue(cfg.Cores > 0 && cfg.Cores <= 1024, "limits.cores", cfg.Cores, "above 0 to 1024"),
+		checkValue(cfg.MemoryMB >= 32, "limits.memory_mb", cfg.MemoryMB, "32 or more"),
+		checkValue(cfg.Sockets >= 64, "limits.sockets", cfg.Sockets, "64 or more"),
+		checkValue(settings.ConnectTimeout > 0, "settings.permissions.connect_timeout", settings.ConnectTimeout, "above 0"),
+		checkValue(settings.IdleClose >= 0, "settings.permissions.idle_close", settings.IdleClose, "0 (never) or above"),
+		checkValue(settings.DrainGrace >= 0, "settings.safety.drain_grace", settings.DrainGrace, "0 (not told) or above"),
+		checkValue(settings.Streams > 0, "settings.permissions.streams_per_conn", settings.Streams, "1 or more"),
+		checkValue(settings.OpenCap >= 0, "settings.permissions.open_cap", settings.OpenCap, "0 (no limit) or above"))
 }
 
 // Differs names the keys whose values differ in another configuration and that a running controller can't take
 // over. Discovery it can; the seed and what is known are of a start.
-func (c Config) Differs(next Config) (keys []string) {
+func (current Config) Differs(next Config) (keys []string) {
 	for key, differs := range map[string]bool{
-		"name": c.Name != next.Name, "listen": c.Listen != next.Listen, "limits.cores": c.Cores != next.Cores,
-		"limits.memory_mb": c.MemoryMB != next.MemoryMB, "limits.sockets": c.Sockets != next.Sockets,
-		"settings": !reflect.DeepEqual(c.Settings, next.Settings),
+		"name": current.Name != next.Name, "listen": current.Listen != next.Listen, "limits.cores": current.Cores != next.Cores,
+		"limits.memory_mb": current.MemoryMB != next.MemoryMB, "limits.sockets": current.Sockets != next.Sockets,
+		"settings": !reflect.DeepEqual(current.Settings, next.Settings),
 	} {
 		if differs {
 			keys = append(keys, key)
@@ -151,52 +151,52 @@
 	return keys
 }
 
-func override(value *string, with string) {
-	if with != "" {
-		*value = with
+func overrideIfSet(value *string, replacement string) {
+	if replacement != "" {
+		*value = replacement
 	}
 }
 
-func set[T any](value *T, with *T) {
-	if with != nil {
-		*value = *with
+func setIfPresent[T any](value *T, replacement *T) {
+	if replacement != nil {
+		*value = *replacement
 	}
 }
 
 func isAddress(s string) bool {
-	a, err := netip.ParseAddrPort(s)
-	return err == nil && a.Port() != 0
+	address, err := netip.ParseAddrPort(s)
+	return err == nil && address.Port() != 0
 }
 
-func check(holds bool, key string, value any, allowed string) error {
-	if holds {
+func checkValue(valid bool, key string, value any, allowed string) error {
+	if valid {
 		return nil
 	}
-	return faulty(key, value, allowed)
+	return invalidValue(key, value, allowed)
 }
 
-func faulty(key string, value any, allowed string) error {
-	if d, is := value.(time.Duration); is {
-		value = int64(d)
+func invalidValue(key string, value any, allowed string) error {
+	if duration, isDuration := value.(time.Duration); isDuration {
+		value = int64(duration)
 	}
 	return fmt.Errorf("%s: %q is not allowed, wanted: %s", key, fmt.Sprint(value), allowed)
 }
 
 // decode names the key of a value that has the wrong form.
-func decode(at string, raw []byte, into any) error {
-	err := json.Unmarshal(raw, into)
-	var form *json.UnmarshalTypeError
+func decode(parentKey string, raw []byte, target any) error {
+	err := json.Unmarshal(raw, target)
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &form):
-		key := strings.ToLower(form.Field) // as the file has it: fields without a tag are named by their Go name
-		if at != "" {
-			key = at + "." + key
+	case errors.As(err, &typeErr):
+		key := strings.ToLower(typeErr.Field) // as the file has it: fields without a tag are named by their Go name
+		if parentKey != "" {
+			key = parentKey + "." + key
 		}
-		return faulty(key, form.Value, form.Type.String())
-	case err != nil && at == "":
+		return invalidValue(key, typeErr.Value, typeErr.Type.String())
+	case err != nil && parentKey == "":
 		return fmt.Errorf("configuration: %w", err)
 	case err != nil:
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", parentKey, err)
 	}
 	return nil
 }
--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -24,10 +24,10 @@
 // PlatformClass is a class of the platform. Window is how long engines remember what they ran, for keyed
 // ones.
 type PlatformClass struct {
-	Name                            string
-	LatencyTarget, Deadline, Window time.Duration
-	Keyed                           bool
-	Locations, Kinds                []string // of engines that it may go to; none: all
+	Name                                 string
+	LatencyTarget, Deadline, DedupWindow time.Duration
+	Keyed                                bool
+	Locations, Kinds                     []string // of engines that it may go to; none: all
 }
 
 // Config is a configuration that was read and checked.
@@ -42,12 +42,12 @@
 // setting is a key with its value, read.
 type setting struct {
 	*entry
-	figure   Figure
-	patterns []route.Pattern
-	names    []string
-	cols     []int // of each pattern or name
-	match    *route.Match
-	from     *section // where it stands, which for what is inherited is another section
+	quantity  Quantity
+	patterns  []route.Pattern
+	names     []string
+	columns   []int // of each pattern or name
+	match     *route.Match
+	definedIn *section // where it stands, which for what is inherited is another section
 }
 
 // canonical writes the value as the formatter does.
@@ -57,68 +57,68 @@
 // any of them is an error. A platform, where given, is what types, locations, kinds and times are checked against.
 func Load(path string, platform *Platform) *Config {
 	l := &loader{}
-	l.load(path)
-	return l.checked(platform)
+	l.loadRoot(path)
+	return l.checkedConfig(platform)
 }
 
 // checked checks what was read.
-func (l *loader) checked(platform *Platform) *Config {
+func (l *loader) checkedConfig(platform *Platform) *Config {
 	c := &checker{loader: l, platform: platform, settings: map[*section]map[string]*setting{},
-		named: map[string]map[string]*section{}, pools: map[string]*route.Pool{}, policies: map[string]*route.Policy{}}
+		sectionsByName: map[string]map[string]*section{}, pools: map[string]*route.Pool{}, policies: map[string]*route.Policy{}}
 	c.check()
 	l.messages.sort()
-	out := &Config{Messages: l.messages, checker: c}
-	for real := range l.done {
-		out.Files = append(out.Files, real)
+	result := &Config{Messages: l.messages, checker: c}
+	for path := range l.parsedFiles {
+		result.Files = append(result.Files, path)
 	}
-	slices.Sort(out.Files)
+	slices.Sort(result.Files)
 	if l.messages.Errors() == 0 {
-		out.Plan, out.Fleet = c.plan, c.fleet
+		result.Plan, result.Fleet = c.plan, c.fleet
 	}
-	return out
+	return result
 }
 
 type checker struct {
 	*loader
-	platform *Platform
-	settings map[*section]map[string]*setting
-	named    map[string]map[string]*section // by kind and name
-	pools    map[string]*route.Pool
-	policies map[string]*route.Policy
-	used     map[*section]bool
-	plan     *route.Plan
-	fleet    *Fleet
+	platform       *Platform
+	settings       map[*section]map[string]*setting
+	sectionsByName map[string]map[string]*section // by kind and name
+	pools          map[string]*route.Pool
+	policies       map[string]*route.Policy
+	usedSections   map[*section]bool
+	plan           *route.Plan
+	fleet          *Fleet
 }
 
 func (c *checker) check() {
-	c.used = map[*section]bool{}
-	for _, k := range kinds {
-		c.named[k] = map[string]*section{}
+	c.usedSections = map[*section]bool{}
+	for _, kind := range sectionKinds {
+		c.sectionsByName[kind] = map[string]*section{}
 	}
 	for _, s := range c.sections {
-		c.section(s)
+		c.checkSection(s)
 	}
 	for _, s := range c.sections {
-		c.references(s)
+		c.checkReferences(s)
 		if s.kind == "pool" || s.kind == "label" {
-			c.places(s)
+			c.checkPlacement(s)
 		}
 	}
 	c.plan = &route.Plan{}
 	for _, s := range c.sections {
 		switch s.kind {
 		case "pool":
-			c.pool(s)
+			c.buildPool(s)
 		case "policy":
-			c.policy(s)
+			c.buildPolicy(s)
 		}
 	}
-	c.teams()
-	c.fleets()
+	c.checkTeamShares()
+	c.buildFleet()
 	bySection := map[*route.Route]*section{}
 	for _, s := range c.sections {
 		if s.kind == "route" {
-			r := c.route(s)
+			r := c.buildRoute(s)
 			bySection[r] = s
 			c.plan.Routes = append(c.plan.Routes, r)
 		}
@@ -130,151 +130,151 @@
 		return // warnings about what will change
 	}
 	for _, s := range c.sections {
-		if (s.kind == "pool" || s.kind == "policy" || s.kind == "label") && !c.used[s] {
-			c.warn(s.at, s.nameCol, fmt.Sprintf("%s %q is not used by any route", s.kind, s.name), "")
+		if (s.kind == "pool" || s.kind == "policy" || s.kind == "label") && !c.usedSections[s] {
+			c.reportWarning(s.line, s.nameColumn, fmt.Sprintf("%s %q is not used by any route", s.kind, s.name), "")
 		}
 	}
 	for _, u := range c.plan.Unreached() {
 		s := bySection[u.Route]
-		at, col := s.at, s.nameCol
+		line, column := s.line, s.nameColumn
 		if m := c.settings[s]["match"]; m != nil {
-			at, col = m.at, m.col
+			line, column = m.line, m.column
 		}
-		what := fmt.Sprintf("route %q is never reached: ", s.name)
+		problem := fmt.Sprintf("route %q is never reached: ", s.name)
 		var related []Related
 		if len(u.Behind) == 0 {
-			what += "its match holds for no job"
+			problem += "its match holds for no job"
 		} else {
-			what += "the routes before it take all of it"
+			problem += "the routes before it take all of it"
 		}
-		for n, b := range u.Behind {
-			if n == 5 {
+		for index, blocker := range u.Behind {
+			if index == 5 {
 				break
 			}
-			before := bySection[b]
-			related = append(related, Related{before.at.file.path, before.at.number, fmt.Sprintf("route %q comes first", before.name)})
+			blocking := bySection[blocker]
+			related = append(related, Related{blocking.line.file.path, blocking.line.number, fmt.Sprintf("route %q comes first", blocking.name)})
 		}
-		c.warn(at, col, what, "", related...)
+		c.reportWarning(line, column, problem, "", related...)
 	}
 }
 
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // mostName bounds names, which stand in logs and tables.
-const mostName = 64
+const maxNameBytes = 64
 
 // section checks a header and reads the values of its keys.
-func (c *checker) section(s *section) {
-	own := map[string]*setting{}
-	c.settings[s] = own
-	named, known := c.named[s.kind]
+func (c *checker) checkSection(s *section) {
+	settings := map[string]*setting{}
+	c.settings[s] = settings
+	sameKind, known := c.sectionsByName[s.kind]
 	switch {
 	case !known:
-		c.say(s.at, s.col, fmt.Sprintf("section [%s] is not known%s", s.kind, meant(s.kind, kinds)),
-			"one of "+strings.Join(kinds, ", "))
+		c.reportError(s.line, s.column, fmt.Sprintf("section [%s] is not known%s", s.kind, suggestion(s.kind, sectionKinds)),
+			"one of "+strings.Join(sectionKinds, ", "))
 		return
 	case s.name == "":
-		c.say(s.at, s.nameCol, fmt.Sprintf("a %s without a name", s.kind), fmt.Sprintf("[%s \"name\"]", s.kind))
-	case len(s.name) > mostName || strings.ContainsFunc(s.name, func(r rune) bool {
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("a %s without a name", s.kind), fmt.Sprintf("[%s \"name\"]", s.kind))
+	case len(s.name) > maxNameBytes || strings.ContainsFunc(s.name, func(r rune) bool {
 		return !unicode.IsLetter(r) && !unicode.IsDigit(r) && !strings.ContainsRune("-_. /", r)
 	}):
-		c.say(s.at, s.nameCol, fmt.Sprintf("%q is no name", s.name),
-			fmt.Sprintf("letters, digits, spaces and -_./, at most %d", mostName))
-	case named[s.name] != nil:
-		first := named[s.name]
-		c.say(s.at, s.nameCol, fmt.Sprintf("%s %q is there twice", s.kind, s.name), "each name once",
-			Related{first.at.file.path, first.at.number, "the first one"})
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("%q is no name", s.name),
+			fmt.Sprintf("letters, digits, spaces and -_./, at most %d", maxNameBytes))
+	case sameKind[s.name] != nil:
+		first := sameKind[s.name]
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("%s %q is there twice", s.kind, s.name), "each name once",
+			Related{first.line.file.path, first.line.number, "the first one"})
 	default:
-		named[s.name] = s
+		sameKind[s.name] = s
 	}
 	for _, e := range s.entries {
-		k := keyOf(s.kind, e.key)
-		switch first := own[e.key]; {
-		case k == nil:
-			c.say(e.at, e.col, fmt.Sprintf("key %q is not known in a %s%s", e.key, s.kind, meant(e.key, keyNames(s.kind))),
+		spec := findKey(s.kind, e.key)
+		switch first := settings[e.key]; {
+		case spec == nil:
+			c.reportError(e.line, e.column, fmt.Sprintf("key %q is not known in a %s%s", e.key, s.kind, suggestion(e.key, keyNames(s.kind))),
 				"one of "+strings.Join(keyNames(s.kind), ", "))
 		case first != nil:
-			c.say(e.at, e.col, fmt.Sprintf("key %q is there twice in %s %q", e.key, s.kind, s.name), "each key once",
-				Related{first.at.file.path, first.at.number, "the first one"})
+			c.reportError(e.line, e.column, fmt.Sprintf("key %q is there twice in %s %q", e.key, s.kind, s.name), "each key once",
+				Related{first.line.file.path, first.line.number, "the first one"})
 		default:
-			if v := c.value(e, k); v != nil {
-				v.from = s
-				own[e.key] = v
+			if value := c.readValue(e, spec); value != nil {
+				value.definedIn = s
+				settings[e.key] = value
 			}
 		}
 	}
 }
 
 // value reads what stands behind a key; nil where it is faulty.
-func (c *checker) value(e *entry, k *key) *setting {
-	v := &setting{entry: e}
-	if k.form == matchForm {
+func (c *checker) readValue(e *entry, spec *keySpec) *setting {
+	result := &setting{entry: e}
+	if spec.form == matchForm {
 		if e.node.Match == nil {
 			return nil
 		}
-		before := c.messages.Errors()
-		m := c.match(e.at, e.node.Match.Expr)
-		if c.messages.Errors() > before {
+		errorsBefore := c.messages.Errors()
+		match := c.buildMatch(e.line, e.node.Match.Expr)
+		if c.messages.Errors() > errorsBefore {
 			return nil
 		}
-		if m.TooWide() {
-			c.say(e.at, e.col, "the match comes to more than 256 combinations", "a simpler one, or several routes")
+		if match.TooWide() {
+			c.reportError(e.line, e.column, "the match comes to more than 256 combinations", "a simpler one, or several routes")
 			return nil
 		}
-		v.match = m
-		return v
+		result.match = match
+		return result
 	}
 	if e.node.Entry == nil { // match, which the grammar knows as a key of its own
 		return nil
 	}
 	values := e.node.Entry.Values
-	if single := k.form != patternsForm && k.form != namesForm && k.form != textsForm; single && len(values) > 1 {
-		c.say(e.at, values[1].Pos.Column, fmt.Sprintf("%s takes one value, here are %d", k.name, len(values)), "one value")
+	if single := spec.form != patternsForm && spec.form != namesForm && spec.form != textsForm; single && len(values) > 1 {
+		c.reportError(e.line, values[1].Pos.Column, fmt.Sprintf("%s takes one value, here are %d", spec.name, len(values)), "one value")
 		return nil
 	}
 	for _, value := range values {
 		if value.To != nil {
-			c.say(e.at, value.Pos.Column, fmt.Sprintf("%s takes no range", k.name), c.wanted(k))
+			c.reportError(e.line, value.Pos.Column, fmt.Sprintf("%s takes no range", spec.name), c.expectedValue(spec))
 			return nil
 		}
-		col := value.Pos.Column
-		switch k.form {
-		case figureForm, countOrShare:
+		column := value.Pos.Column
+		switch spec.form {
+		case quantityForm, countOrShareForm:
 			if value.From == nil {
-				c.say(e.at, col, fmt.Sprintf("%s: %q is no number", k.name, value.Text.word()), c.wanted(k))
+				c.reportError(e.line, column, fmt.Sprintf("%s: %q is no number", spec.name, value.Text.word()), c.expectedValue(spec))
 				return nil
 			}
-			f, ok := c.figure(e.at, value.From, k)
+			quantity, ok := c.readQuantity(e.line, value.From, spec)
 			if !ok {
 				return nil
 			}
-			v.figure = f
+			result.quantity = quantity
 			continue
 		}
 		word := value.word()
-		if v.cols = append(v.cols, col); (k.form == textForm || k.form == textsForm) && word == "" {
-			c.say(e.at, col, k.name+": an empty text", c.wanted(k))
+		if result.columns = append(result.columns, column); (spec.form == textForm || spec.form == textsForm) && word == "" {
+			c.reportError(e.line, column, spec.name+": an empty text", c.expectedValue(spec))
 			return nil
 		}
-		if k.form == patternsForm {
+		if spec.form == patternsForm {
 			if word == "" {
-				c.say(e.at, col, k.name+": an empty text", c.wanted(k))
+				c.reportError(e.line, column, spec.name+": an empty text", c.expectedValue(spec))
 				return nil
 			}
-			v.patterns = append(v.patterns, route.Pattern(word))
+			result.patterns = append(result.patterns, route.Pattern(word))
 			continue
 		}
-		if k.form == wordForm && !slices.Contains(k.words, word) {
-			c.say(e.at, col, fmt.Sprintf("%s: %q is not known%s", k.name, word, meant(word, k.words)), c.wanted(k))
+		if spec.form == wordForm && !slices.Contains(spec.words, word) {
+			c.reportError(e.line, column, fmt.Sprintf("%s: %q is not known%s", spec.name, word, suggestion(word, spec.words)), c.expectedValue(spec))
 			return nil
 		}
-		if slices.Contains(v.names, word) {
-			c.say(e.at, col, fmt.Sprintf("%s: %q is there twice", k.name, word), "each name once")
+		if slices.Contains(result.names, word) {
+			c.reportError(e.line, column, fmt.Sprintf("%s: %q is there twice", spec.name, word), "each name once")
 			return nil
 		}
-		v.names = append(v.names, word)
+		result.names = append(result.names, word)
 	}
-	return v
+	return result
 }
 
 func (v *valueNode) word() string {
@@ -285,88 +285,88 @@
 }
 
 // wanted says what a key takes.
-func (c *checker) wanted(k *key) string {
-	switch k.form {
-	case figureForm:
-		least, most := Figure{k.kind, k.least}, Figure{k.kind, k.most}
+func (c *checker) expectedValue(spec *keySpec) string {
+	switch spec.form {
+	case quantityForm:
+		minimum, maximum := Quantity{spec.kind, spec.min}, Quantity{spec.kind, spec.max}
 		switch {
-		case k.most == math.MaxInt64:
-			return k.kind.form()
-		case k.kind == duration || k.kind == count || k.kind == share:
-			return fmt.Sprintf("%s, %s to %s", k.kind.form(), least, most)
+		case spec.max == math.MaxInt64:
+			return spec.kind.example()
+		case spec.kind == duration || spec.kind == count || spec.kind == share:
+			return fmt.Sprintf("%s, %s to %s", spec.kind.example(), minimum, maximum)
 		}
-		return k.kind.form()
-	case countOrShare:
+		return spec.kind.example()
+	case countOrShareForm:
 		return "a number of engines such as 2, or a share such as 50%"
 	case patternsForm:
 		return "texts, in which * and ? stand for any characters"
 	case textForm, textsForm:
 		return "a text in quotes"
 	case wordForm:
-		return strings.Join(k.words, " or ")
+		return strings.Join(spec.words, " or ")
 	}
-	return "the name of a " + k.of
+	return "the name of a " + spec.refKind
 }
 
 // figure reads a number and checks its kind and range.
-func (c *checker) figure(at *line, node *figureNode, k *key) (Figure, bool) {
-	f, err := parseFigure(node.Text)
-	col := node.Pos.Column
+func (c *checker) readQuantity(line *sourceLine, node *quantityNode, spec *keySpec) (Quantity, bool) {
+	quantity, err := parseQuantity(node.Text)
+	column := node.Pos.Column
 	switch {
 	case err != nil:
-		c.say(at, col, fmt.Sprintf("%s: %v", k.name, err), c.wanted(k))
-	case k.form == countOrShare && f.Kind == share:
-		if f.Value == 0 || f.Value > 100*shareUnit {
-			c.say(at, col, fmt.Sprintf("%s: %s is out of range", k.name, f), "above 0% to 100%")
-			return f, false
-		}
-		return f, true
-	case f.Kind != k.kind && f.Kind == count && node.Text == f.String():
-		c.say(at, col, fmt.Sprintf("%s: %s has no unit", k.name, node.Text), c.wanted(k))
-	case f.Kind != k.kind:
-		c.say(at, col, fmt.Sprintf("%s: %s is %s, not %s", k.name, node.Text, f.Kind, k.kind), c.wanted(k))
-	case f.Value < k.least || f.Value > k.most:
-		c.say(at, col, fmt.Sprintf("%s: %s is out of range", k.name, node.Text), c.wanted(k))
+		c.reportError(line, column, fmt.Sprintf("%s: %v", spec.name, err), c.expectedValue(spec))
+	case spec.form == countOrShareForm && quantity.Kind == share:
+		if quantity.Value == 0 || quantity.Value > 100*unitsPerPercent {
+			c.reportError(line, column, fmt.Sprintf("%s: %s is out of range", spec.name, quantity), "above 0% to 100%")
+			return quantity, false
+		}
+		return quantity, true
+	case quantity.Kind != spec.kind && quantity.Kind == count && node.Text == quantity.String():
+		c.reportError(line, column, fmt.Sprintf("%s: %s has no unit", spec.name, node.Text), c.expectedValue(spec))
+	case quantity.Kind != spec.kind:
+		c.reportError(line, column, fmt.Sprintf("%s: %s is %s, not %s", spec.name, node.Text, quantity.Kind, spec.kind), c.expectedValue(spec))
+	case quantity.Value < spec.min || quantity.Value > spec.max:
+		c.reportError(line, column, fmt.Sprintf("%s: %s is out of range", spec.name, node.Text), c.expectedValue(spec))
 	default:
-		return f, true
+		return quantity, true
 	}
-	return f, false
+	return quantity, false
 }
 
 // references checks that names stand for something.
-func (c *checker) references(s *section) {
-	for _, k := range schema[s.kind] {
-		v := c.settings[s][k.name]
-		if v == nil || k.form != nameForm && k.form != namesForm {
+func (c *checker) checkReferences(s *section) {
+	for _, spec := range schema[s.kind] {
+		value := c.settings[s][spec.name]
+		if value == nil || spec.form != nameForm && spec.form != namesForm {
 			continue
 		}
-		for n, name := range v.names {
-			if to := c.named[k.of][name]; to == nil {
-				c.say(v.at, v.cols[n], fmt.Sprintf("%s %q is not defined%s", k.of, name, meant(name, sortedNames(c.named[k.of]))),
-					"the name of a "+k.of+" of this configuration")
+		for index, name := range value.names {
+			if target := c.sectionsByName[spec.refKind][name]; target == nil {
+				c.reportError(value.line, value.columns[index], fmt.Sprintf("%s %q is not defined%s", spec.refKind, name, suggestion(name, sortedNames(c.sectionsByName[spec.refKind]))),
+					"the name of a "+spec.refKind+" of this configuration")
 			}
 		}
 	}
 }
 
 // cycle reports sections that lead back to themselves by a key, once for each cycle. It tells whether s is on one.
-func (c *checker) cycle(s *section, key string) bool {
+func (c *checker) reportCycle(s *section, key string) bool {
 	chain := []*section{s}
-	var walk func(at *section) bool
+	var walk func(current *section) bool
 	seen := map[*section]bool{}
-	walk = func(at *section) bool {
-		v := c.settings[at][key]
-		if v == nil || seen[at] {
+	walk = func(current *section) bool {
+		value := c.settings[current][key]
+		if value == nil || seen[current] {
 			return false
 		}
-		seen[at] = true
-		for _, name := range v.names {
-			to := c.named[at.kind][name]
-			if to == s {
+		seen[current] = true
+		for _, name := range value.names {
+			target := c.sectionsByName[current.kind][name]
+			if target == s {
 				return true
 			}
-			if to != nil {
-				if chain = append(chain, to); walk(to) {
+			if target != nil {
+				if chain = append(chain, target); walk(target) {
 					return true
 				}
 				chain = chain[:len(chain)-1]
@@ -383,97 +383,97 @@
 		}
 	}
 	var related []Related
-	for n, other := range chain {
-		v := c.settings[other][key]
-		related = append(related, Related{v.at.file.path, v.at.number,
-			fmt.Sprintf("%s %q has %s = %s", other.kind, other.name, key, chain[(n+1)%len(chain)].name)})
+	for index, other := range chain {
+		value := c.settings[other][key]
+		related = append(related, Related{value.line.file.path, value.line.number,
+			fmt.Sprintf("%s %q has %s = %s", other.kind, other.name, key, chain[(index+1)%len(chain)].name)})
 	}
-	v := c.settings[s][key]
-	c.say(v.at, v.col, fmt.Sprintf("%s %q leads back to itself by %s", s.kind, s.name, key), "no cycle", related...)
+	value := c.settings[s][key]
+	c.reportError(value.line, value.column, fmt.Sprintf("%s %q leads back to itself by %s", s.kind, s.name, key), "no cycle", related...)
 	return true
 }
 
 // mostAlternatives bounds what pools of pools with labels come to.
-const mostAlternatives = 64
+const maxAlternatives = 64
 
 // pool works a pool out.
-func (c *checker) pool(s *section) {
-	if s.name == "" || c.named["pool"][s.name] != s {
+func (c *checker) buildPool(s *section) {
+	if s.name == "" || c.sectionsByName["pool"][s.name] != s {
 		return
 	}
-	own := c.settings[s]
-	c.cycle(s, "overflow")
-	if c.cycle(s, "pools") {
+	settings := c.settings[s]
+	c.reportCycle(s, "overflow")
+	if c.reportCycle(s, "pools") {
 		c.pools[s.name] = &route.Pool{Name: route.PoolName(s.name)}
 		return
 	}
-	p := &route.Pool{Name: route.PoolName(s.name)}
-	any, ok := c.members(s, 0)
+	pool := &route.Pool{Name: route.PoolName(s.name)}
+	alternatives, ok := c.poolMembers(s, 0)
 	if !ok {
-		c.say(s.at, s.nameCol, fmt.Sprintf("pool %q comes to more than %d alternatives", s.name, mostAlternatives),
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q comes to more than %d alternatives", s.name, maxAlternatives),
 			"fewer pools and labels in one pool")
 	}
-	p.Any = any
-	if len(own["id"].list())+len(own["location"].list())+len(own["kind"].list()) == 0 && own["label"] == nil &&
-		own["pools"] == nil && !c.faulty(s, "id", "location", "kind", "label", "pools") {
-		c.say(s.at, s.nameCol, fmt.Sprintf("pool %q names no engines", s.name),
+	pool.Any = alternatives
+	if len(settings["id"].patternList())+len(settings["location"].patternList())+len(settings["kind"].patternList()) == 0 && settings["label"] == nil &&
+		settings["pools"] == nil && !c.hasUnreadableKey(s, "id", "location", "kind", "label", "pools") {
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q names no engines", s.name),
 			"at least one of id, location, kind, label, pools; id = * for all engines")
 	}
-	if v := own["minimum"]; v != nil {
-		if v.figure.Kind == share {
-			p.MinShare = v.figure.part()
+	if value := settings["minimum"]; value != nil {
+		if value.quantity.Kind == share {
+			pool.MinShare = value.quantity.fraction()
 		} else {
-			p.MinCount = int(v.figure.Value)
+			pool.MinCount = int(value.quantity.Value)
 		}
 	}
-	if v := own["size"]; v != nil {
-		p.Size = int(v.figure.Value)
-		if p.MinCount > p.Size {
-			c.say(own["minimum"].at, own["minimum"].col, fmt.Sprintf("minimum %d is above size %d", p.MinCount, p.Size),
-				"a minimum that the pool can have", Related{v.at.file.path, v.at.number, "the size"})
+	if value := settings["size"]; value != nil {
+		pool.Size = int(value.quantity.Value)
+		if pool.MinCount > pool.Size {
+			c.reportError(settings["minimum"].line, settings["minimum"].column, fmt.Sprintf("minimum %d is above size %d", pool.MinCount, pool.Size),
+				"a minimum that the pool can have", Related{value.line.file.path, value.line.number, "the size"})
 		}
 	}
-	over, after := own["overflow"], own["overflow-after"]
-	if over != nil {
-		p.Overflow = route.PoolName(over.names[0])
-		p.OverflowAfter = defaultOverflowAfter
-		if over.names[0] == s.name {
+	overflow, overflowAfter := settings["overflow"], settings["overflow-after"]
+	if overflow != nil {
+		pool.Overflow = route.PoolName(overflow.names[0])
+		pool.OverflowAfter = defaultOverflowAfter
+		if overflow.names[0] == s.name {
 			return // told as a cycle
 		}
 	}
-	if after != nil {
-		p.OverflowAfter = time.Duration(after.figure.Value)
-		if over == nil && !c.faulty(s, "overflow") {
-			c.warn(after.at, after.col, "overflow-after without overflow has no effect", "")
+	if overflowAfter != nil {
+		pool.OverflowAfter = time.Duration(overflowAfter.quantity.Value)
+		if overflow == nil && !c.hasUnreadableKey(s, "overflow") {
+			c.reportWarning(overflowAfter.line, overflowAfter.column, "overflow-after without overflow has no effect", "")
 		}
 	}
-	c.pools[s.name] = p
+	c.pools[s.name] = pool
 }
 
 // places checks the locations and kinds that a pool or label names against the platform. A location may come later; a
 // kind has to be in the settings.
-func (c *checker) places(s *section) {
+func (c *checker) checkPlacement(s *section) {
 	if c.platform == nil {
 		return
 	}
-	look := func(key string, list []string, say func(at *line, col int, what, wanted string, related ...Related)) {
-		v := c.settings[s][key]
-		for n, p := range v.list() {
-			if len(list) > 0 && !slices.ContainsFunc(list, p.Matches) {
-				say(v.at, v.cols[n], fmt.Sprintf("the platform has no %s %q%s", key, p, meant(string(p), list)),
-					"one of "+strings.Join(list[:min(len(list), 8)], ", "))
+	checkKey := func(key string, allowed []string, report func(line *sourceLine, column int, problem, expected string, related ...Related)) {
+		value := c.settings[s][key]
+		for index, pattern := range value.patternList() {
+			if len(allowed) > 0 && !slices.ContainsFunc(allowed, pattern.Matches) {
+				report(value.line, value.columns[index], fmt.Sprintf("the platform has no %s %q%s", key, pattern, suggestion(string(pattern), allowed)),
+					"one of "+strings.Join(allowed[:min(len(allowed), 8)], ", "))
 			}
 		}
 	}
-	look("location", c.platform.Locations, c.warn)
-	look("kind", c.platform.Kinds, c.say)
+	checkKey("location", c.platform.Locations, c.reportWarning)
+	checkKey("kind", c.platform.Kinds, c.reportError)
 }
 
 // defaultOverflowAfter is a fifth of a short latency target: a job that waits for longer is likely to miss it.
 const defaultOverflowAfter = 100 * time.Millisecond
 
 // list are a setting's patterns; none where it is absent.
-func (s *setting) list() []route.Pattern {
+func (s *setting) patternList() []route.Pattern {
 	if s == nil {
 		return nil
 	}
@@ -481,45 +481,45 @@
 }
 
 // faulty tells that a section has one of some keys, though nothing could be read from it.
-func (c *checker) faulty(s *section, keys ...string) bool {
-	return s.faulty || slices.ContainsFunc(s.entries, func(e *entry) bool {
+func (c *checker) hasUnreadableKey(s *section, keys ...string) bool {
+	return s.hasInvalidLine || slices.ContainsFunc(s.entries, func(e *entry) bool {
 		return slices.Contains(keys, e.key) && c.settings[s][e.key] == nil
 	})
 }
 
 // members multiplies a pool out: its own conditions, with one of its labels and one of its pools.
-func (c *checker) members(s *section, depth int) (any [][]route.Members, ok bool) {
-	own := c.settings[s]
-	any = [][]route.Members{nil}
-	if m := (route.Members{IDs: own["id"].list(), Locations: own["location"].list(), Kinds: own["kind"].list()}); len(m.IDs)+
-		len(m.Locations)+len(m.Kinds) > 0 {
-		any = [][]route.Members{{m}}
-	}
-	if v := own["label"]; v != nil {
+func (c *checker) poolMembers(s *section, depth int) (alternatives [][]route.Members, ok bool) {
+	settings := c.settings[s]
+	alternatives = [][]route.Members{nil}
+	if members := (route.Members{IDs: settings["id"].patternList(), Locations: settings["location"].patternList(), Kinds: settings["kind"].patternList()}); len(members.IDs)+
+		len(members.Locations)+len(members.Kinds) > 0 {
+		alternatives = [][]route.Members{{members}}
+	}
+	if v := settings["label"]; v != nil {
 		var labels [][]route.Members
 		for _, name := range v.names {
-			if l := c.named["label"][name]; l != nil {
-				set := c.settings[l]
-				labels = append(labels, []route.Members{{IDs: set["id"].list(), Locations: set["location"].list(),
-					Kinds: set["kind"].list()}})
-				c.used[l] = true
+			if label := c.sectionsByName["label"][name]; label != nil {
+				labelSettings := c.settings[label]
+				labels = append(labels, []route.Members{{IDs: labelSettings["id"].patternList(), Locations: labelSettings["location"].patternList(),
+					Kinds: labelSettings["kind"].patternList()}})
+				c.usedSections[label] = true
 			}
 		}
-		any = product(any, labels)
+		alternatives = product(alternatives, labels)
 	}
-	if v := own["pools"]; v != nil && depth < mostDepth {
+	if v := settings["pools"]; v != nil && depth < maxDepth {
 		var pools [][]route.Members
 		for _, name := range v.names {
-			if p := c.named["pool"][name]; p != nil {
-				more, fits := c.members(p, depth+1)
-				if pools = append(pools, more...); !fits || len(pools) > mostAlternatives {
+			if pool := c.sectionsByName["pool"][name]; pool != nil {
+				nested, nestedOK := c.poolMembers(pool, depth+1)
+				if pools = append(pools, nested...); !nestedOK || len(pools) > maxAlternatives {
 					return nil, false
 				}
 			}
 		}
-		any = product(any, pools)
+		alternatives = product(alternatives, pools)
 	}
-	return any, len(any) <= mostAlternatives
+	return alternatives, len(alternatives) <= maxAlternatives
 }
 
 func product(a, b [][]route.Members) (out [][]route.Members) {
@@ -532,84 +532,84 @@
 }
 
 // effective gives a policy's keys with those that it inherits.
-func (c *checker) effective(s *section) map[string]*setting {
-	out := map[string]*setting{}
+func (c *checker) effectiveSettings(s *section) map[string]*setting {
+	effective := map[string]*setting{}
 	for depth := 0; s != nil && depth < len(c.sections)+1; depth++ {
-		for key, v := range c.settings[s] {
-			if out[key] == nil && key != "use" {
-				out[key] = v
+		for key, value := range c.settings[s] {
+			if effective[key] == nil && key != "use" {
+				effective[key] = value
 			}
 		}
-		use := c.settings[s]["use"]
-		if use == nil {
+		parent := c.settings[s]["use"]
+		if parent == nil {
 			break
 		}
-		s = c.named["policy"][use.names[0]]
+		s = c.sectionsByName["policy"][parent.names[0]]
 	}
-	return out
+	return effective
 }
 
 // policy works a policy out, with what it inherits.
-func (c *checker) policy(s *section) {
-	if s.name == "" || c.named["policy"][s.name] != s || c.cycle(s, "use") {
+func (c *checker) buildPolicy(s *section) {
+	if s.name == "" || c.sectionsByName["policy"][s.name] != s || c.reportCycle(s, "use") {
 		return
 	}
-	set := c.effective(s)
-	p := route.NewPolicy(s.name)
-	number := func(key string, into *int) {
-		if v := set[key]; v != nil {
-			*into = int(v.figure.Value)
+	settings := c.effectiveSettings(s)
+	policy := route.NewPolicy(s.name)
+	setInt := func(key string, target *int) {
+		if value := settings[key]; value != nil {
+			*target = int(value.quantity.Value)
 		}
 	}
-	span := func(key string, into *time.Duration) {
-		if v := set[key]; v != nil {
-			*into = time.Duration(v.figure.Value)
+	setDuration := func(key string, target *time.Duration) {
+		if value := settings[key]; value != nil {
+			*target = time.Duration(value.quantity.Value)
 		}
 	}
-	number("dispatched", &p.MostOut)
-	number("held", &p.MostHeld)
-	if v := set["rate"]; v != nil {
-		p.Rate = v.figure.perSecond()
+	setInt("dispatched", &policy.MostOut)
+	setInt("held", &policy.MostHeld)
+	if value := settings["rate"]; value != nil {
+		policy.Rate = value.quantity.perSecond()
 	}
-	if v := set["burst"]; v != nil {
-		p.Burst = float64(v.figure.Value)
-		if set["rate"] == nil && v.from == s && !c.faulty(s, "rate") {
-			c.warn(v.at, v.col, "burst without rate has no effect", "")
+	if value := settings["burst"]; value != nil {
+		policy.Burst = float64(value.quantity.Value)
+		if settings["rate"] == nil && value.definedIn == s && !c.hasUnreadableKey(s, "rate") {
+			c.reportWarning(value.line, value.column, "burst without rate has no effect", "")
 		}
 	}
-	if v := set["further"]; v != nil {
-		p.FurtherSet, p.FurtherShare = true, v.figure.part()
+	if value := settings["further"]; value != nil {
+		policy.FurtherSet, policy.FurtherShare = true, value.quantity.fraction()
 	}
-	number("further-free", &p.FurtherFree)
-	span("further-window", &p.FurtherSpan)
+	setInt("further-free", &policy.FurtherFree)
+	setDuration("further-window", &policy.FurtherSpan)
 	for _, key := range []string{"further-free", "further-window"} {
-		if v := set[key]; v != nil && set["further"] == nil && v.from == s && !c.faulty(s, "further") {
-			c.warn(v.at, v.col, key+" without further has no effect", "")
+		if value := settings[key]; value != nil && settings["further"] == nil && value.definedIn == s && !c.hasUnreadableKey(s, "further") {
+			c.reportWarning(value.line, value.column, key+" without further has no effect", "")
 		}
 	}
-	span("further-wait", &p.FurtherWait)
-	span("repeat-window", &p.RepeatWindow)
-	span("fallback-wait", &p.FallbackWait)
-	span("return-wait", &p.ReturnWait)
-	span("return-over", &p.ReturnOver)
-	if v := set["no-pool"]; v != nil {
-		p.EndWhenDown = v.names[0] == "end"
+	setDuration("further-wait", &policy.FurtherWait)
+	setDuration("repeat-window", &policy.RepeatWindow)
+	setDuration("fallback-wait", &policy.FallbackWait)
+	setDuration("return-wait", &policy.ReturnWait)
+	setDuration("return-over", &policy.ReturnOver)
+	if value := settings["no-pool"]; value != nil {
+		policy.EndWhenDown = value.names[0] == "end"
 	}
-	if w, r := set["further-wait"], set["repeat-window"]; w != nil && r != nil && w.figure.Value >= r.figure.Value &&
-		(w.from == s || r.from == s) {
-		c.say(w.at, w.col, fmt.Sprintf("further-wait %s is not below repeat-window %s, so that nothing would ever go again",
-			w.figure, r.figure), "a wait well below the window", Related{r.at.file.path, r.at.number, "the window"})
+	if furtherWait, repeatWindow := settings["further-wait"], settings["repeat-window"]; furtherWait != nil && repeatWindow != nil && furtherWait.quantity.Value >= repeatWindow.quantity.Value &&
+		(furtherWait.definedIn == s || repeatWindow.definedIn == s) {
+		c.reportError(furtherWait.line, furtherWait.column, fmt.Sprintf("further-wait %s is not below repeat-window %s, so that nothing would ever go again",
+			furtherWait.quantity, repeatWindow.quantity), "a wait well below the window", Related{repeatWindow.line.file.path, repeatWindow.line.number, "the window"})
 	}
-	c.policies[s.name] = &p
+	c.policies[s.name] = &policy
 }
 
 // teams checks that shares sum up to no more than all.
-func (c *checker) teams() {
+func (c *checker) checkTeamShares() {
 	sum := int64(0)
 	for _, s := range c.sections {
-		if v := c.settings[s]["share"]; s.kind == "team" && v != nil {
-			if sum += v.figure.Value; sum > 100*shareUnit && sum-v.figure.Value <= 100*shareUnit {
-				c.say(v.at, v.col, fmt.Sprintf("the shares of all teams up to here come to %s", Figure{share, sum}),
+		if value := c.settings[s]["share"]; s.kind == "team" && value != nil {
+			if sum += value.quantity.Value; sum > 100*unitsPerPercent && sum-value.quantity.Value <= 100*unitsPerPercent {
+				c.reportError(value.line, value.column, fmt.Sprintf("the shares of all teams up to here come to %s", Quantity{share, sum}),
 					"at most 100% together")
 			}
 		}
@@ -617,82 +617,82 @@
 }
 
 // route works a route out.
-func (c *checker) route(s *section) *route.Route {
-	own := c.settings[s]
+func (c *checker) buildRoute(s *section) *route.Route {
+	settings := c.settings[s]
 	r := &route.Route{Name: route.RouteName(s.name), Policy: route.NewPolicy("")}
-	if v := own["match"]; v != nil {
-		r.Match = v.match
+	if value := settings["match"]; value != nil {
+		r.Match = value.match
 	}
-	if v := own["pool"]; v != nil {
-		c.to(s, r, v.names[0])
+	if value := settings["pool"]; value != nil {
+		c.addPool(s, r, value.names[0])
 	}
-	if v := own["fallback"]; v != nil {
-		if own["pool"] == nil && !c.faulty(s, "pool") {
-			c.say(v.at, v.col, fmt.Sprintf("route %q has a fallback and no pool", s.name), "pool = name")
+	if value := settings["fallback"]; value != nil {
+		if settings["pool"] == nil && !c.hasUnreadableKey(s, "pool") {
+			c.reportError(value.line, value.column, fmt.Sprintf("route %q has a fallback and no pool", s.name), "pool = name")
 		}
-		for n, name := range v.names {
-			if pool := own["pool"]; pool != nil && pool.names[0] == name {
-				c.say(v.at, v.cols[n], fmt.Sprintf("pool %q is its own fallback", name), "other pools")
+		for index, name := range value.names {
+			if pool := settings["pool"]; pool != nil && pool.names[0] == name {
+				c.reportError(value.line, value.columns[index], fmt.Sprintf("pool %q is its own fallback", name), "other pools")
 				continue
 			}
-			c.to(s, r, name)
+			c.addPool(s, r, name)
 		}
 	}
-	if v := own["policy"]; v != nil {
-		if p := c.named["policy"][v.names[0]]; p != nil {
-			for q := p; q != nil && !c.used[q]; {
-				c.used[q] = true
-				use := c.settings[q]["use"]
-				if use == nil {
+	if value := settings["policy"]; value != nil {
+		if policy := c.sectionsByName["policy"][value.names[0]]; policy != nil {
+			for ancestor := policy; ancestor != nil && !c.usedSections[ancestor]; {
+				c.usedSections[ancestor] = true
+				parent := c.settings[ancestor]["use"]
+				if parent == nil {
 					break
 				}
-				q = c.named["policy"][use.names[0]]
+				ancestor = c.sectionsByName["policy"][parent.names[0]]
 			}
-			if worked := c.policies[v.names[0]]; worked != nil {
-				r.Policy = *worked
-				if len(r.Pools) == 0 && own["pool"] == nil {
-					c.noPool(v, p)
+			if built := c.policies[value.names[0]]; built != nil {
+				r.Policy = *built
+				if len(r.Pools) == 0 && settings["pool"] == nil {
+					c.warnNoPool(value, policy)
 				}
 			}
 		}
 	}
 	if c.platform != nil {
-		c.against(s, r)
+		c.checkAgainstPlatform(s, r)
 	}
 	return r
 }
 
 // noPool warns of settings about pools in the policy of a route without one.
-func (c *checker) noPool(v *setting, p *section) {
-	set := c.effective(p)
+func (c *checker) warnNoPool(policyRef *setting, policy *section) {
+	settings := c.effectiveSettings(policy)
 	for _, key := range []string{"fallback-wait", "return-wait", "return-over", "no-pool"} {
-		if set[key] != nil {
-			c.warn(v.at, v.col, fmt.Sprintf("policy %q sets %s, which has no effect on a route without a pool", p.name, key), "",
-				Related{set[key].at.file.path, set[key].at.number, key})
+		if settings[key] != nil {
+			c.reportWarning(policyRef.line, policyRef.column, fmt.Sprintf("policy %q sets %s, which has no effect on a route without a pool", policy.name, key), "",
+				Related{settings[key].line.file.path, settings[key].line.number, key})
 			return
 		}
 	}
 }
 
-func (c *checker) to(s *section, r *route.Route, name string) {
-	if p := c.named["pool"][name]; p != nil {
-		c.use(p, 0)
-		if worked := c.pools[name]; worked != nil {
-			r.Pools = append(r.Pools, worked)
+func (c *checker) addPool(s *section, r *route.Route, name string) {
+	if pool := c.sectionsByName["pool"][name]; pool != nil {
+		c.markPoolUsed(pool, 0)
+		if built := c.pools[name]; built != nil {
+			r.Pools = append(r.Pools, built)
 		}
 	}
 }
 
-func (c *checker) use(p *section, depth int) {
-	if c.used[p] || depth > mostDepth {
+func (c *checker) markPoolUsed(pool *section, depth int) {
+	if c.usedSections[pool] || depth > maxDepth {
 		return
 	}
-	c.used[p] = true
+	c.usedSections[pool] = true
 	for _, key := range []string{"pools", "overflow"} {
-		if v := c.settings[p][key]; v != nil {
-			for _, name := range v.names {
-				if next := c.named["pool"][name]; next != nil {
-					c.use(next, depth+1)
+		if value := c.settings[pool][key]; value != nil {
+			for _, name := range value.names {
+				if next := c.sectionsByName["pool"][name]; next != nil {
+					c.markPoolUsed(next, depth+1)
 				}
 			}
 		}
@@ -701,81 +701,83 @@
 
 // against checks a route and what it uses against the platform: names that it does not have, and times that can't
 // hold for a class that the route takes.
-func (c *checker) against(s *section, r *route.Route) {
-	for _, t := range c.platform.Classes {
-		if !r.Takes(route.Type, t.Name) {
+func (c *checker) checkAgainstPlatform(s *section, r *route.Route) {
+	for _, class := range c.platform.Classes {
+		if !r.Takes(route.Type, class.Name) {
 			continue
 		}
-		limit := func(key string, most time.Duration, what string) {
-			v := c.settingOf(s, key)
-			if v == nil || most <= 0 || time.Duration(v.figure.Value) < most ||
-				key == "repeat-window" && time.Duration(v.figure.Value) == most {
+		checkLimit := func(key string, limit time.Duration, limitName string) {
+			value := c.findSetting(s, key)
+			if value == nil || limit <= 0 || time.Duration(value.quantity.Value) < limit ||
+				key == "repeat-window" && time.Duration(value.quantity.Value) == limit {
 				return
 			}
 			relation := "is not below"
 			if key == "repeat-window" {
 				relation = "is beyond"
 			}
-			c.once(v, fmt.Sprintf("%s %s %s %s of type %q, %s", key, v.figure, relation, what, t.Name, Figure{duration, int64(most)}),
-				"a shorter time; is the unit meant?", Related{s.at.file.path, s.at.number, fmt.Sprintf("route %q takes %q", s.name, t.Name)})
+			c.reportOnce(value, fmt.Sprintf("%s %s %s %s of type %q, %s", key, value.quantity, relation, limitName, class.Name, Quantity{duration, int64(limit)}),
+				"a shorter time; is the unit meant?", Related{s.line.file.path, s.line.number, fmt.Sprintf("route %q takes %q", s.name, class.Name)})
 		}
-		c.reaches(s, r, &t)
-		limit("further-wait", t.Deadline, "the deadline")
-		limit("fallback-wait", t.LatencyTarget, "the latency target")
-		limit("overflow-after", t.LatencyTarget, "the latency target")
-		if t.Keyed {
-			limit("repeat-window", t.Window, "the time that engines remember jobs")
+		c.checkReachable(s, r, &class)
+		checkLimit("further-wait", class.Deadline, "the deadline")
+		checkLimit("fallback-wait", class.LatencyTarget, "the latency target")
+		checkLimit("overflow-after", class.LatencyTarget, "the latency target")
+		if class.Keyed {
+			checkLimit("repeat-window", class.DedupWindow, "the time that engines remember jobs")
 		}
 	}
 }
 
 // reaches checks that a class can go to some engine of some pool of a route: its own placement holds as well,
 // and jobs with none in common would only wait until they are refused.
-func (c *checker) reaches(s *section, r *route.Route, t *PlatformClass) {
-	fits := func(patterns []route.Pattern, allowed []string) bool {
+func (c *checker) checkReachable(s *section, r *route.Route, class *PlatformClass) {
+	compatible := func(patterns []route.Pattern, allowed []string) bool {
 		return len(patterns) == 0 || len(allowed) == 0 || slices.ContainsFunc(allowed, func(name string) bool {
-			return slices.ContainsFunc(patterns, func(p route.Pattern) bool { return p.Matches(name) })
+			return slices.ContainsFunc(patterns, func(pattern route.Pattern) bool { return pattern.Matches(name) })
 		})
 	}
-	reached := slices.ContainsFunc(r.Pools, func(p *route.Pool) bool {
-		return slices.ContainsFunc(p.Any, func(all []route.Members) bool {
-			return !slices.ContainsFunc(all, func(m route.Members) bool { return !fits(m.Locations, t.Locations) || !fits(m.Kinds, t.Kinds) })
+	reachable := slices.ContainsFunc(r.Pools, func(pattern *route.Pool) bool {
+		return slices.ContainsFunc(pattern.Any, func(members []route.Members) bool {
+			return !slices.ContainsFunc(members, func(member route.Members) bool {
+				return !compatible(member.Locations, class.Locations) || !compatible(member.Kinds, class.Kinds)
+			})
 		})
 	})
-	if v := c.settings[s]["pool"]; v != nil && len(r.Pools) > 0 && !reached && len(r.Pools[0].Any) > 0 {
-		c.say(v.at, v.cols[0], fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s", t.Name,
-			strings.Join(slices.Concat(t.Locations, t.Kinds), ", ")), "a pool with such engines, or a match that leaves the type out")
+	if poolSetting := c.settings[s]["pool"]; poolSetting != nil && len(r.Pools) > 0 && !reachable && len(r.Pools[0].Any) > 0 {
+		c.reportError(poolSetting.line, poolSetting.columns[0], fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s", class.Name,
+			strings.Join(slices.Concat(class.Locations, class.Kinds), ", ")), "a pool with such engines, or a match that leaves the type out")
 	}
 }
 
 // once says a thing about a setting only once, however many routes come to it.
-func (c *checker) once(v *setting, what, wanted string, related ...Related) {
+func (c *checker) reportOnce(value *setting, problem, expected string, related ...Related) {
 	for _, m := range c.messages {
-		if m.File == v.at.file.path && m.Line == v.at.number && m.Wanted == wanted {
+		if m.File == value.line.file.path && m.Line == value.line.number && m.Expected == expected {
 			return
 		}
 	}
-	c.say(v.at, v.col, what, wanted, related...)
+	c.reportError(value.line, value.column, problem, expected, related...)
 }
 
 // settingOf finds a key in the policy of a route, or in its pools.
-func (c *checker) settingOf(s *section, key string) *setting {
-	own := c.settings[s]
+func (c *checker) findSetting(s *section, key string) *setting {
+	settings := c.settings[s]
 	if key == "overflow-after" {
-		for _, by := range []string{"pool", "fallback"} {
-			if v := own[by]; v != nil {
-				for _, name := range v.names {
-					if p := c.named["pool"][name]; p != nil && c.settings[p][key] != nil {
-						return c.settings[p][key]
+		for _, reference := range []string{"pool", "fallback"} {
+			if value := settings[reference]; value != nil {
+				for _, name := range value.names {
+					if target := c.sectionsByName["pool"][name]; target != nil && c.settings[target][key] != nil {
+						return c.settings[target][key]
 					}
 				}
 			}
 		}
 		return nil
 	}
-	if v := own["policy"]; v != nil {
-		if p := c.named["policy"][v.names[0]]; p != nil {
-			return c.effective(p)[key]
+	if value := settings["policy"]; value != nil {
+		if target := c.sectionsByName["policy"][value.names[0]]; target != nil {
+			return c.effectiveSettings(target)[key]
 		}
 	}
 	return nil
--- a/config/lang/diff.go
+++ b/config/lang/diff.go
@@ -11,86 +11,86 @@
 
 // Change is one thing that a later version means differently.
 type Change struct {
-	How  string `json:"how"` // added, gone, changed, moved or jobs
+	Type string `json:"how"` // added, gone, changed, moved or jobs
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 	Key  string `json:"key,omitempty"`
-	Was  string `json:"was,omitempty"`
-	Now  string `json:"now,omitempty"`
+	Old  string `json:"was,omitempty"`
+	New  string `json:"now,omitempty"`
 	File string `json:"file,omitempty"` // of the later version, or the earlier one for what is gone
 	Line int    `json:"line,omitempty"`
 	// Doubt is set where a figure changed so much that its unit is worth a second look.
-	Doubt string `json:"doubt,omitempty"`
+	Caution string `json:"doubt,omitempty"`
 	// Example is a job that goes elsewhere, with How jobs.
 	Example string `json:"example,omitempty"`
 }
 
 func (c Change) String() string {
-	at := ""
+	location := ""
 	if c.File != "" {
-		at = fmt.Sprintf(" (%s:%d)", c.File, c.Line)
+		location = fmt.Sprintf(" (%s:%d)", c.File, c.Line)
 	}
-	s := ""
-	switch c.How {
+	text := ""
+	switch c.Type {
 	case "added":
-		s = fmt.Sprintf("+ %s %q%s", c.Kind, c.Name, at)
+		text = fmt.Sprintf("+ %s %q%s", c.Kind, c.Name, location)
 		if c.Key != "" {
-			s = fmt.Sprintf("+ %s %q: %s = %s%s", c.Kind, c.Name, c.Key, c.Now, at)
+			text = fmt.Sprintf("+ %s %q: %s = %s%s", c.Kind, c.Name, c.Key, c.New, location)
 		}
 	case "gone":
-		s = fmt.Sprintf("- %s %q%s", c.Kind, c.Name, at)
+		text = fmt.Sprintf("- %s %q%s", c.Kind, c.Name, location)
 		if c.Key != "" {
-			s = fmt.Sprintf("- %s %q: %s = %s", c.Kind, c.Name, c.Key, c.Was)
+			text = fmt.Sprintf("- %s %q: %s = %s", c.Kind, c.Name, c.Key, c.Old)
 		}
 	case "changed":
-		s = fmt.Sprintf("~ %s %q: %s = %s, was %s%s", c.Kind, c.Name, c.Key, c.Now, c.Was, at)
+		text = fmt.Sprintf("~ %s %q: %s = %s, was %s%s", c.Kind, c.Name, c.Key, c.New, c.Old, location)
 	case "moved":
-		s = fmt.Sprintf("~ %s %q: now %s, was %s%s", c.Kind, c.Name, c.Now, c.Was, at)
+		text = fmt.Sprintf("~ %s %q: now %s, was %s%s", c.Kind, c.Name, c.New, c.Old, location)
 	case "jobs":
-		s = fmt.Sprintf("> jobs go from %s to %s, such as %s", c.Was, c.Now, c.Example)
+		text = fmt.Sprintf("> jobs go from %s to %s, such as %s", c.Old, c.New, c.Example)
 	}
-	if c.Doubt != "" {
-		s += "\n  ! " + c.Doubt
+	if c.Caution != "" {
+		text += "\n  ! " + c.Caution
 	}
-	return s
+	return text
 }
 
 // doubtful is the factor from which on a changed figure is pointed out: a unit mistaken for its neighbour is off by 60
 // or more, most by 1000; a change that is meant is rarely a hundredfold.
-const doubtful = 100
+const suspectFactor = 100
 
 // Diff tells what a later version means differently, after includes and inheritance. Both must be free of errors.
 // complete is false where the question which jobs go elsewhere was too large to be followed to its end.
-func Diff(was, now *Config) (changes []Change, complete bool) {
-	for _, kind := range kinds {
-		old, later := was.checker.named[kind], now.checker.named[kind]
-		for _, s := range was.checker.sections {
-			if s.kind == kind && old[s.name] == s && later[s.name] == nil {
-				changes = append(changes, Change{How: "gone", Kind: kind, Name: s.name, File: s.at.file.path, Line: s.at.number})
+func Diff(before, after *Config) (changes []Change, complete bool) {
+	for _, kind := range sectionKinds {
+		oldSections, newSections := before.checker.sectionsByName[kind], after.checker.sectionsByName[kind]
+		for _, s := range before.checker.sections {
+			if s.kind == kind && oldSections[s.name] == s && newSections[s.name] == nil {
+				changes = append(changes, Change{Type: "gone", Kind: kind, Name: s.name, File: s.line.file.path, Line: s.line.number})
 			}
 		}
-		for _, s := range now.checker.sections {
-			if s.kind != kind || later[s.name] != s {
+		for _, s := range after.checker.sections {
+			if s.kind != kind || newSections[s.name] != s {
 				continue
 			}
-			before := old[s.name]
-			if before == nil {
-				changes = append(changes, Change{How: "added", Kind: kind, Name: s.name, File: s.at.file.path, Line: s.at.number})
+			oldSection := oldSections[s.name]
+			if oldSection == nil {
+				changes = append(changes, Change{Type: "added", Kind: kind, Name: s.name, File: s.line.file.path, Line: s.line.number})
 				continue
 			}
-			changes = append(changes, keys(was.keys(before), now.keys(s), s)...)
+			changes = append(changes, diffKeys(before.sectionSettings(oldSection), after.sectionSettings(s), s)...)
 		}
 	}
-	changes = append(changes, moved(was, now)...)
-	jobs, complete := was.Plan.Differences(now.Plan, func(a, b *route.Route) bool { return a.Goes() == b.Goes() })
-	for _, m := range jobs {
-		changes = append(changes, Change{How: "jobs", Kind: "route", Name: nameOf(m.From), Was: m.From.Goes(),
-			Now: m.To.Goes(), Example: Describe(&m.Example)})
+	changes = append(changes, movedRoutes(before, after)...)
+	rerouted, complete := before.Plan.Differences(after.Plan, func(a, b *route.Route) bool { return a.Goes() == b.Goes() })
+	for _, move := range rerouted {
+		changes = append(changes, Change{Type: "jobs", Kind: "route", Name: routeName(move.From), Old: move.From.Goes(),
+			New: move.To.Goes(), Example: Describe(&move.Example)})
 	}
 	return changes, complete
 }
 
-func nameOf(r *route.Route) string {
+func routeName(r *route.Route) string {
 	if r == nil {
 		return ""
 	}
@@ -98,59 +98,59 @@
 }
 
 // Describe writes a job in the terms of a match.
-func Describe(j *route.Job) string {
-	parts := []string{"type = " + bare(j.Type)}
-	if j.Customer != "" {
-		parts = append(parts, "customer = "+bare(j.Customer))
+func Describe(job *route.Job) string {
+	parts := []string{"type = " + quoteIfNeeded(job.Type)}
+	if job.Customer != "" {
+		parts = append(parts, "customer = "+quoteIfNeeded(job.Customer))
 	}
-	if j.Front != "" {
-		parts = append(parts, "front = "+bare(j.Front))
+	if job.Front != "" {
+		parts = append(parts, "front = "+quoteIfNeeded(job.Front))
 	}
-	if j.Tables >= 0 {
-		parts = append(parts, fmt.Sprintf("tables = %d", j.Tables))
+	if job.Tables >= 0 {
+		parts = append(parts, fmt.Sprintf("tables = %d", job.Tables))
 	}
-	if j.Cost >= 0 {
-		parts = append(parts, "cost = "+Figure{work, int64(j.Cost)}.String())
+	if job.Cost >= 0 {
+		parts = append(parts, "cost = "+Quantity{work, int64(job.Cost)}.String())
 	}
-	if j.Memory >= 0 {
-		parts = append(parts, "memory = "+Figure{size, j.Memory}.String())
+	if job.Memory >= 0 {
+		parts = append(parts, "memory = "+Quantity{size, job.Memory}.String())
 	}
-	return strings.Join(append(parts, "left = "+Figure{duration, int64(j.Left)}.String()), ", ")
+	return strings.Join(append(parts, "left = "+Quantity{duration, int64(job.Left)}.String()), ", ")
 }
 
 // keys are a section's settings with those that it inherits.
-func (c *Config) keys(s *section) map[string]*setting {
+func (c *Config) sectionSettings(s *section) map[string]*setting {
 	if s.kind == "policy" {
-		return c.checker.effective(s)
+		return c.checker.effectiveSettings(s)
 	}
 	return c.checker.settings[s]
 }
 
-func keys(was, now map[string]*setting, s *section) (changes []Change) {
-	for _, k := range schema[s.kind] {
-		a, b := was[k.name], now[k.name]
-		change := Change{Kind: s.kind, Name: s.name, Key: k.name}
-		if b != nil {
-			change.Now, change.File, change.Line = b.canonical(), b.at.file.path, b.at.number
+func diffKeys(before, after map[string]*setting, s *section) (changes []Change) {
+	for _, spec := range schema[s.kind] {
+		oldValue, newValue := before[spec.name], after[spec.name]
+		change := Change{Kind: s.kind, Name: s.name, Key: spec.name}
+		if newValue != nil {
+			change.New, change.File, change.Line = newValue.canonical(), newValue.line.file.path, newValue.line.number
 		}
-		if a != nil {
-			change.Was = a.canonical()
+		if oldValue != nil {
+			change.Old = oldValue.canonical()
 		}
 		switch {
-		case a == nil && b == nil || change.Was == change.Now && a != nil && b != nil:
+		case oldValue == nil && newValue == nil || change.Old == change.New && oldValue != nil && newValue != nil:
 			continue
-		case k.form == patternsForm && a != nil && b != nil && sameSet(a.patterns, b.patterns):
+		case spec.form == patternsForm && oldValue != nil && newValue != nil && sameSet(oldValue.patterns, newValue.patterns):
 			continue
-		case a == nil:
-			change.How = "added"
-		case b == nil:
-			change.How = "gone"
+		case oldValue == nil:
+			change.Type = "added"
+		case newValue == nil:
+			change.Type = "gone"
 		default:
-			change.How = "changed"
-			if x, y := a.figure, b.figure; (k.form == figureForm || k.form == countOrShare) && x.Kind == y.Kind &&
-				x.Value > 0 && y.Value > 0 {
-				if factor := float64(max(x.Value, y.Value)) / float64(min(x.Value, y.Value)); factor >= doubtful {
-					change.Doubt = fmt.Sprintf("a change by a factor of %.0f: is the unit meant?", factor)
+			change.Type = "changed"
+			if oldQuantity, newQuantity := oldValue.quantity, newValue.quantity; (spec.form == quantityForm || spec.form == countOrShareForm) && oldQuantity.Kind == newQuantity.Kind &&
+				oldQuantity.Value > 0 && newQuantity.Value > 0 {
+				if factor := float64(max(oldQuantity.Value, newQuantity.Value)) / float64(min(oldQuantity.Value, newQuantity.Value)); factor >= suspectFactor {
+					change.Caution = fmt.Sprintf("a change by a factor of %.0f: is the unit meant?", factor)
 				}
 			}
 		}
@@ -168,34 +168,34 @@
 
 // moved tells of routes that stand elsewhere among those that both versions have, where that matters: where a route
 // that they passed takes some of the same jobs.
-func moved(was, now *Config) (changes []Change) {
-	place := map[route.RouteName]int{}
-	for n, r := range was.Plan.Routes {
-		place[r.Name] = n
-	}
-	var both []*route.Route
-	for _, r := range now.Plan.Routes {
-		if _, had := place[r.Name]; had {
-			both = append(both, r)
+func movedRoutes(before, after *Config) (changes []Change) {
+	oldIndex := map[route.RouteName]int{}
+	for n, r := range before.Plan.Routes {
+		oldIndex[r.Name] = n
+	}
+	var common []*route.Route
+	for _, r := range after.Plan.Routes {
+		if _, existed := oldIndex[r.Name]; existed {
+			common = append(common, r)
 		}
 	}
-	stays := route.Rising(both, func(r *route.Route) int { return place[r.Name] })
-	for n, r := range both {
-		if stays[n] {
+	inOrder := route.Rising(common, func(r *route.Route) int { return oldIndex[r.Name] })
+	for n, r := range common {
+		if inOrder[n] {
 			continue
 		}
-		for m, other := range both {
-			if m == n || !stays[m] || (m < n) == (place[other.Name] < place[r.Name]) || !r.Overlaps(other) {
+		for m, other := range common {
+			if m == n || !inOrder[m] || (m < n) == (oldIndex[other.Name] < oldIndex[r.Name]) || !r.Overlaps(other) {
 				continue
 			}
-			s := now.checker.named["route"][string(r.Name)]
+			s := after.checker.sectionsByName["route"][string(r.Name)]
 			order := [...]string{"before", "behind"}
-			at, before := order[0], order[1]
+			newPosition, oldPosition := order[0], order[1]
 			if m < n {
-				at, before = before, at
+				newPosition, oldPosition = oldPosition, newPosition
 			}
-			changes = append(changes, Change{How: "moved", Kind: "route", Name: string(r.Name),
-				Now: fmt.Sprintf("%s route %q", at, other.Name), Was: before + " it", File: s.at.file.path, Line: s.at.number})
+			changes = append(changes, Change{Type: "moved", Kind: "route", Name: string(r.Name),
+				New: fmt.Sprintf("%s route %q", newPosition, other.Name), Old: oldPosition + " it", File: s.line.file.path, Line: s.line.number})
 			break
 		}
 	}
@@ -205,48 +205,48 @@
 // ParseJob reads a job written as Describe writes it: terms with = and commas. What is not said is untold; the time
 // left is then a minute.
 func ParseJob(text string) (route.Job, error) {
-	j := route.Job{Tables: route.Untold, Cost: route.Untold, Memory: route.Untold, Left: time.Minute}
+	job := route.Job{Tables: route.Untold, Cost: route.Untold, Memory: route.Untold, Left: time.Minute}
 	for _, part := range strings.Split(text, ",") {
 		if strings.TrimSpace(part) == "" {
 			continue
 		}
-		name, value, has := strings.Cut(part, "=")
+		name, value, hasEquals := strings.Cut(part, "=")
 		name, value = strings.TrimSpace(name), strings.TrimSpace(value)
-		node, wrong := parseLine("x = " + value)
-		if !has || wrong != nil || len(node.Entry.Values) != 1 || node.Entry.Values[0].To != nil {
-			return j, fmt.Errorf("%q: wanted: a term such as type = lookup", part)
+		node, syntaxErr := parseLine("x = " + value)
+		if !hasEquals || syntaxErr != nil || len(node.Entry.Values) != 1 || node.Entry.Values[0].To != nil {
+			return job, fmt.Errorf("%q: wanted: a term such as type = lookup", part)
 		}
-		v := node.Entry.Values[0]
-		n := slices.IndexFunc(terms[:], func(t termInfo) bool { return t.name == name })
-		if n < 0 {
-			return j, fmt.Errorf("%q is not known%s; wanted: one of %s", name, meant(name, termNames()), strings.Join(termNames(), ", "))
+		parsed := node.Entry.Values[0]
+		index := slices.IndexFunc(terms[:], func(t termInfo) bool { return t.name == name })
+		if index < 0 {
+			return job, fmt.Errorf("%q is not known%s; wanted: one of %s", name, suggestion(name, termNames()), strings.Join(termNames(), ", "))
 		}
-		var f Figure
-		if terms[n].field >= route.Tables {
-			if v.From == nil {
-				return j, fmt.Errorf("%s: %q is no number; wanted: %s", name, value, terms[n].kind.form())
+		var quantity Quantity
+		if terms[index].field >= route.Tables {
+			if parsed.From == nil {
+				return job, fmt.Errorf("%s: %q is no number; wanted: %s", name, value, terms[index].kind.example())
 			}
 			var err error
-			if f, err = parseFigure(v.From.Text); err != nil || f.Kind != terms[n].kind {
-				return j, fmt.Errorf("%s: %q; wanted: %s", name, value, terms[n].kind.form())
+			if quantity, err = parseQuantity(parsed.From.Text); err != nil || quantity.Kind != terms[index].kind {
+				return job, fmt.Errorf("%s: %q; wanted: %s", name, value, terms[index].kind.example())
 			}
 		}
-		switch terms[n].field {
+		switch terms[index].field {
 		case route.Type:
-			j.Type = v.word()
+			job.Type = parsed.word()
 		case route.Customer:
-			j.Customer = v.word()
+			job.Customer = parsed.word()
 		case route.Front:
-			j.Front = v.word()
+			job.Front = parsed.word()
 		case route.Tables:
-			j.Tables = f.Value
+			job.Tables = quantity.Value
 		case route.Cost:
-			j.Cost = time.Duration(f.Value)
+			job.Cost = time.Duration(quantity.Value)
 		case route.Memory:
-			j.Memory = f.Value
+			job.Memory = quantity.Value
 		case route.Left:
-			j.Left = time.Duration(f.Value)
+			job.Left = time.Duration(quantity.Value)
 		}
 	}
-	return j, nil
+	return job, nil
 }
--- a/config/lang/fleet.go
+++ b/config/lang/fleet.go
@@ -24,82 +24,82 @@
 // What is taken where nothing is said. A probe a second finds a loss within some seconds; 64 KB a second each way is some
 // four times what a fleet of 300 needs.
 const (
-	usualPort    = 7946
-	usualPeriod  = time.Second
-	usualMembers = 1000
-	usualTraffic = 64_000
+	defaultPort    = 7946
+	defaultPeriod  = time.Second
+	defaultMembers = 1000
+	defaultTraffic = 64_000
 )
 
 // fleets reads the one section that says whom instances talk to.
-func (c *checker) fleets() {
+func (c *checker) buildFleet() {
 	var first *section
 	for _, s := range c.sections {
 		if s.kind != "fleet" {
 			continue
 		}
 		if first != nil {
-			c.say(s.at, s.col, "a second fleet", "one at most", Related{first.at.file.path, first.at.number, "the first one"})
+			c.reportError(s.line, s.column, "a second fleet", "one at most", Related{first.line.file.path, first.line.number, "the first one"})
 			continue
 		}
 		first = s
-		own := c.settings[s]
-		f := &Fleet{Name: s.name, Port: usualPort, Period: usualPeriod, Members: usualMembers, Traffic: usualTraffic}
-		if v := own["port"]; v != nil {
-			f.Port = uint16(v.figure.Value)
+		settings := c.settings[s]
+		fleet := &Fleet{Name: s.name, Port: defaultPort, Period: defaultPeriod, Members: defaultMembers, Traffic: defaultTraffic}
+		if value := settings["port"]; value != nil {
+			fleet.Port = uint16(value.quantity.Value)
 		}
-		if v := own["period"]; v != nil {
-			f.Period = time.Duration(v.figure.Value)
+		if value := settings["period"]; value != nil {
+			fleet.Period = time.Duration(value.quantity.Value)
 		}
-		if v := own["members"]; v != nil {
-			f.Members = int(v.figure.Value)
+		if value := settings["members"]; value != nil {
+			fleet.Members = int(value.quantity.Value)
 		}
-		if v := own["traffic"]; v != nil {
-			f.Traffic = int(v.figure.Value)
+		if value := settings["traffic"]; value != nil {
+			fleet.Traffic = int(value.quantity.Value)
 		}
-		if v := own["status"]; v != nil {
-			f.Status = v.names[0]
+		if value := settings["status"]; value != nil {
+			fleet.Status = value.names[0]
 		}
-		if v := own["advertise"]; v != nil {
-			if address, err := netip.ParseAddrPort(v.names[0]); err != nil || address.Port() == 0 {
-				c.say(v.at, v.cols[0], fmt.Sprintf("advertise: %q is no address", v.names[0]), `an address such as "10.0.0.4:7946"`)
+		if value := settings["advertise"]; value != nil {
+			if address, err := netip.ParseAddrPort(value.names[0]); err != nil || address.Port() == 0 {
+				c.reportError(value.line, value.columns[0], fmt.Sprintf("advertise: %q is no address", value.names[0]), `an address such as "10.0.0.4:7946"`)
 			}
-			f.Told = v.names[0]
+			fleet.Told = value.names[0]
 		}
-		c.keyFile(s, f)
-		c.seeds(s, f)
-		c.fleet = f
+		c.readKeyFileSetting(s, fleet)
+		c.readSeeds(s, fleet)
+		c.fleet = fleet
 	}
 }
 
-func (c *checker) keyFile(s *section, f *Fleet) {
-	switch v := c.settings[s]["key-file"]; {
-	case v != nil && !filepath.IsAbs(v.names[0]):
-		c.say(v.at, v.cols[0], fmt.Sprintf("key-file: %q is no whole path", v.names[0]), `a path such as "/etc/yarrowbarrow/fleet.key"`)
-	case v != nil:
-		f.KeyFile = v.names[0]
-	case !c.faulty(s, "key-file"):
-		c.say(s.at, s.col, "a fleet without a key-file", "key-file = the path of a file with the key that all instances share")
+func (c *checker) readKeyFileSetting(s *section, fleet *Fleet) {
+	switch value := c.settings[s]["key-file"]; {
+	case value != nil && !filepath.IsAbs(value.names[0]):
+		c.reportError(value.line, value.columns[0], fmt.Sprintf("key-file: %q is no whole path", value.names[0]), `a path such as "/etc/yarrowbarrow/fleet.key"`)
+	case value != nil:
+		fleet.KeyFile = value.names[0]
+	case !c.hasUnreadableKey(s, "key-file"):
+		c.reportError(s.line, s.column, "a fleet without a key-file", "key-file = the path of a file with the key that all instances share")
 	}
 }
 
-func (c *checker) seeds(s *section, f *Fleet) {
-	v := c.settings[s]["seeds"]
-	if v == nil {
-		if !c.faulty(s, "seeds") {
-			c.say(s.at, s.col, "a fleet without seeds", "seeds = the addresses of some instances")
+func (c *checker) readSeeds(s *section, fleet *Fleet) {
+	value := c.settings[s]["seeds"]
+	if value == nil {
+		if !c.hasUnreadableKey(s, "seeds") {
+			c.reportError(s.line, s.column, "a fleet without seeds", "seeds = the addresses of some instances")
 		}
 		return
 	}
-	for n, name := range v.names {
+	for index, name := range value.names {
 		address, err := netip.ParseAddrPort(name)
-		if host, only := netip.ParseAddr(name); only == nil {
-			address, err = netip.AddrPortFrom(host, f.Port), nil
+		if host, hostErr := netip.ParseAddr(name); hostErr == nil {
+			address, err = netip.AddrPortFrom(host, fleet.Port), nil
 		}
 		if err != nil || address.Port() == 0 {
-			c.say(v.at, v.cols[n], fmt.Sprintf("seeds: %q is no address", name), `addresses such as "10.0.0.4" or "10.0.0.4:`+
-				strconv.Itoa(int(f.Port))+`"`)
+			c.reportError(value.line, value.columns[index], fmt.Sprintf("seeds: %q is no address", name), `addresses such as "10.0.0.4" or "10.0.0.4:`+
+				strconv.Itoa(int(fleet.Port))+`"`)
 			continue
 		}
-		f.Seeds = append(f.Seeds, address.String())
+		fleet.Seeds = append(fleet.Seeds, address.String())
 	}
 }
--- a/config/lang/format.go
+++ b/config/lang/format.go
@@ -13,89 +13,89 @@
 	var messages Messages
 	f := parseFile(path, raw, func(m Message) { messages = append(messages, m) })
 	if len(messages) > 0 {
-		var all []error
-		for _, m := range messages[:min(len(messages), mostMessages)] {
-			all = append(all, errors.New(m.String()))
+		var errs []error
+		for _, m := range messages[:min(len(messages), maxMessages)] {
+			errs = append(errs, errors.New(m.String()))
 		}
-		return nil, errors.Join(all...)
+		return nil, errors.Join(errs...)
 	}
-	var b strings.Builder
-	blank := true // nothing before, so that no blank line is wanted
-	for from := 0; from < len(f.lines); {
+	var out strings.Builder
+	afterBlank := true // nothing before, so that no blank line is wanted
+	for start := 0; start < len(f.lines); {
 		// Entries that belong together are aligned: up to the next section, or a blank line.
-		to := from
+		end := start
 		width := 0
-		for to < len(f.lines) && (to == from || f.lines[to].node == nil || f.lines[to].node.Section == nil) &&
-			strings.TrimSpace(f.lines[to].text) != "" {
-			if key := keyIn(&f.lines[to]); key != "" {
+		for end < len(f.lines) && (end == start || f.lines[end].node == nil || f.lines[end].node.Section == nil) &&
+			strings.TrimSpace(f.lines[end].text) != "" {
+			if key := lineKey(&f.lines[end]); key != "" {
 				width = max(width, utf8.RuneCountInString(key))
 			}
-			to++
+			end++
 		}
-		for n := from; n < to; n++ {
-			at := &f.lines[n]
-			if !blank && (at.node != nil && at.node.Section != nil || leads(f, n)) && !(n > 0 && leads(f, n-1)) {
-				b.WriteByte('\n')
+		for index := start; index < end; index++ {
+			line := &f.lines[index]
+			if !afterBlank && (line.node != nil && line.node.Section != nil || isSectionComment(f, index)) && !(index > 0 && isSectionComment(f, index-1)) {
+				out.WriteByte('\n')
 			}
-			b.WriteString(formatLine(at, width))
-			b.WriteByte('\n')
-			blank = false
+			out.WriteString(formatLine(line, width))
+			out.WriteByte('\n')
+			afterBlank = false
 		}
-		if to < len(f.lines) && strings.TrimSpace(f.lines[to].text) == "" {
-			for to < len(f.lines) && strings.TrimSpace(f.lines[to].text) == "" {
-				to++
+		if end < len(f.lines) && strings.TrimSpace(f.lines[end].text) == "" {
+			for end < len(f.lines) && strings.TrimSpace(f.lines[end].text) == "" {
+				end++
 			}
-			if !blank && to < len(f.lines) {
-				b.WriteByte('\n')
-				blank = true
+			if !afterBlank && end < len(f.lines) {
+				out.WriteByte('\n')
+				afterBlank = true
 			}
 		}
-		from = to
+		start = end
 	}
-	return []byte(b.String()), nil
+	return []byte(out.String()), nil
 }
 
 // leads tells that a line is one of the comments right above a section, which stay with it.
-func leads(f *file, n int) bool {
-	for ; n < len(f.lines); n++ {
-		at := &f.lines[n]
-		if at.node != nil {
-			return at.node.Section != nil
+func isSectionComment(file *sourceFile, index int) bool {
+	for ; index < len(file.lines); index++ {
+		line := &file.lines[index]
+		if line.node != nil {
+			return line.node.Section != nil
 		}
-		if at.comment == "" {
+		if line.comment == "" {
 			return false
 		}
 	}
 	return false
 }
 
-func keyIn(at *line) string {
+func lineKey(line *sourceLine) string {
 	switch {
-	case at.node == nil:
+	case line.node == nil:
 		return ""
-	case at.node.Match != nil:
-		return at.node.Match.Key
-	case at.node.Entry != nil:
-		return at.node.Entry.Key
+	case line.node.Match != nil:
+		return line.node.Match.Key
+	case line.node.Entry != nil:
+		return line.node.Entry.Key
 	}
 	return ""
 }
 
-func formatLine(at *line, width int) string {
+func formatLine(line *sourceLine, width int) string {
 	code := ""
-	switch node := at.node; {
+	switch node := line.node; {
 	case node == nil:
 	case node.Section != nil:
 		code = "[" + node.Section.Kind
 		if node.Section.Name != nil {
-			code += " " + quoted(node.Section.Name.word())
+			code += " " + quote(node.Section.Name.word())
 		}
 		code += "]"
 	default:
-		key := keyIn(at)
+		key := lineKey(line)
 		code = key + strings.Repeat(" ", max(width-utf8.RuneCountInString(key), 0)) + " = " + formatValue(node)
 	}
-	comment := strings.TrimRight(at.comment, " \t")
+	comment := strings.TrimRight(line.comment, " \t")
 	switch {
 	case code == "":
 		return comment
@@ -105,7 +105,7 @@
 	return code + "  " + comment
 }
 
-func quoted(word string) string { return `"` + strings.ReplaceAll(word, `"`, `\"`) + `"` }
+func quote(word string) string { return `"` + strings.ReplaceAll(word, `"`, `\"`) + `"` }
 
 // formatValue writes what stands behind a key.
 func formatValue(node *lineNode) string {
@@ -122,7 +122,7 @@
 func (v *valueNode) format() string {
 	switch {
 	case v.Text != nil:
-		return bare(v.Text.word())
+		return quoteIfNeeded(v.Text.word())
 	case v.To != nil:
 		return v.From.format() + ".." + v.To.format()
 	}
@@ -130,48 +130,48 @@
 }
 
 // format writes a figure in its canonical unit; one that means nothing stays as it is, for the checker to say so.
-func (f *figureNode) format() string {
-	if figure, err := parseFigure(f.Text); err == nil {
+func (f *quantityNode) format() string {
+	if figure, err := parseQuantity(f.Text); err == nil {
 		return figure.String()
 	}
 	return f.Text
 }
 
 // bare leaves the quotes off a word that is read the same without them.
-func bare(word string) string {
+func quoteIfNeeded(word string) string {
 	tokens := &scanner{text: word}
 	token, err := tokens.Next()
 	if err != nil || token.Type != wordToken || token.Value != word {
-		return quoted(word)
+		return quote(word)
 	}
 	if _, comment := cutComment(word); comment != "" {
-		return quoted(word)
+		return quote(word)
 	}
 	return word
 }
 
-func formatOr(node *orNode, inside bool) string {
-	var parts []string
-	for _, and := range node.Of {
-		var all []string
-		for _, not := range and.Of {
-			all = append(all, formatNot(not))
+func formatOr(node *orNode, parenthesized bool) string {
+	var alternatives []string
+	for _, and := range node.Operands {
+		var operands []string
+		for _, not := range and.Operands {
+			operands = append(operands, formatNot(not))
 		}
-		parts = append(parts, strings.Join(all, " and "))
+		alternatives = append(alternatives, strings.Join(operands, " and "))
 	}
-	out := strings.Join(parts, " or ")
-	if inside {
-		return "(" + out + ")"
+	text := strings.Join(alternatives, " or ")
+	if parenthesized {
+		return "(" + text + ")"
 	}
-	return out
+	return text
 }
 
 func formatNot(node *notNode) string {
 	switch {
 	case node.Not != nil:
 		return "not " + formatNot(node.Not)
-	case node.Of != nil:
-		return formatOr(node.Of, true)
+	case node.Group != nil:
+		return formatOr(node.Group, true)
 	}
 	return formatTerm(node.Term)
 }
@@ -195,11 +195,11 @@
 }
 
 // FormatFile reads a file and gives what it holds and what it should.
-func FormatFile(path string) (was, now []byte, err error) {
+func FormatFile(path string) (original, formatted []byte, err error) {
 	l := &loader{}
-	if was, err = l.readFile(path); err != nil {
+	if original, err = l.readBounded(path); err != nil {
 		return nil, nil, errors.New(path + ": " + reason(err))
 	}
-	now, err = Format(path, was)
-	return was, now, err
+	formatted, err = Format(path, original)
+	return original, formatted, err
 }
--- a/config/lang/fuzz_test.go
+++ b/config/lang/fuzz_test.go
@@ -17,15 +17,15 @@
 
 // loadText checks a text as a file of its own, without the file system.
 func loadText(text string) *Config {
-	l := &loader{done: map[string]*file{}}
-	f := parseFile("x.conf", []byte(text), l.add)
+	l := &loader{parsedFiles: map[string]*sourceFile{}}
+	f := parseFile("x.conf", []byte(text), l.addMessage)
 	for n := range f.lines { // an include would ask the file system
 		if node := f.lines[n].node; node != nil && node.Entry != nil && node.Entry.Key == "include" {
 			f.lines[n].node = nil
 		}
 	}
 	l.collect(f)
-	return l.checked(testPlatform)
+	return l.checkedConfig(testPlatform)
 }
 
 func seeds(f *testing.F) {
@@ -51,7 +51,7 @@
 		}
 		from := time.Now()
 		c := loadText(text)
-		if len(c.Messages) > mostMessages+1 || (c.Plan == nil) != (c.Messages.Errors() > 0) {
+		if len(c.Messages) > maxMessages+1 || (c.Plan == nil) != (c.Messages.Errors() > 0) {
 			t.Error(len(c.Messages), c.Plan)
 		}
 		if took := time.Since(from); took > 10*time.Second {
@@ -192,17 +192,17 @@
 		changes, complete := Diff(was, now)
 		named := map[[2]string]bool{}
 		for _, c := range changes {
-			if c.How != "jobs" {
+			if c.Type != "jobs" {
 				continue
 			}
 			j, err := ParseJob(c.Example)
 			if err != nil {
 				t.Fatalf("%s: %v", c.Example, err)
 			}
-			if from, to := was.Plan.Walk(&j).Goes(), now.Plan.Walk(&j).Goes(); from != c.Was || to != c.Now {
-				t.Fatalf("%s goes from %s to %s, not from %s to %s", c.Example, from, to, c.Was, c.Now)
+			if from, to := was.Plan.Walk(&j).Goes(), now.Plan.Walk(&j).Goes(); from != c.Old || to != c.New {
+				t.Fatalf("%s goes from %s to %s, not from %s to %s", c.Example, from, to, c.Old, c.New)
 			}
-			named[[2]string{c.Was, c.Now}] = true
+			named[[2]string{c.Old, c.New}] = true
 		}
 		for range 30 {
 			j := route.Job{Type: rapid.SampledFrom([]string{"lookup", "load", "other"}).Draw(t, "type"),
--- a/config/lang/grammar.go
+++ b/config/lang/grammar.go
@@ -46,28 +46,28 @@
 
 type valueNode struct {
 	Pos  lexer.Position
-	Text *textNode   `parser:"( @@"`
-	From *figureNode `parser:"| @@"`
-	To   *figureNode `parser:"( '..' @@ )? )"`
+	Text *textNode     `parser:"( @@"`
+	From *quantityNode `parser:"| @@"`
+	To   *quantityNode `parser:"( '..' @@ )? )"`
 }
 
-type figureNode struct {
+type quantityNode struct {
 	Pos  lexer.Position
 	Text string `parser:"@Figure"`
 }
 
 type orNode struct {
-	Of []*andNode `parser:"@@ ( 'or' @@ )*"`
+	Operands []*andNode `parser:"@@ ( 'or' @@ )*"`
 }
 
 type andNode struct {
-	Of []*notNode `parser:"@@ ( 'and' @@ )*"`
+	Operands []*notNode `parser:"@@ ( 'and' @@ )*"`
 }
 
 type notNode struct {
-	Not  *notNode  `parser:"( 'not' @@"`
-	Of   *orNode   `parser:"| '(' @@ ')'"`
-	Term *termNode `parser:"| @@ )"`
+	Not   *notNode  `parser:"( 'not' @@"`
+	Group *orNode   `parser:"| '(' @@ ')'"`
+	Term  *termNode `parser:"| @@ )"`
 }
 
 type termNode struct {
@@ -83,64 +83,64 @@
 // The parsers are built on first use, as a controller without an operators' file needs none of them. There is one for
 // each kind of line, as how a line begins tells its kind.
 var (
-	sections = sync.OnceValue(build[sectionNode])
-	matches  = sync.OnceValue(build[matchNode])
-	entries  = sync.OnceValue(build[entryNode])
+	sectionParser = sync.OnceValue(buildParser[sectionNode])
+	matchParser   = sync.OnceValue(buildParser[matchNode])
+	entryParser   = sync.OnceValue(buildParser[entryNode])
 )
 
-func build[N any]() *participle.Parser[N] {
-	return participle.MustBuild[N](participle.Lexer(words{}), participle.UseLookahead(2))
+func buildParser[N any]() *participle.Parser[N] {
+	return participle.MustBuild[N](participle.Lexer(lineLexer{}), participle.UseLookahead(2))
 }
 
 // beginsMatch tells a line whose key is match.
-func beginsMatch(code string) bool {
-	rest, is := strings.CutPrefix(strings.TrimLeft(code, " \t"), "match")
-	return is && strings.HasPrefix(strings.TrimLeft(rest, " \t"), "=")
+func isMatchLine(code string) bool {
+	rest, hasKey := strings.CutPrefix(strings.TrimLeft(code, " \t"), "match")
+	return hasKey && strings.HasPrefix(strings.TrimLeft(rest, " \t"), "=")
 }
 
 // parseLine reads the code of one line. An error names a column from 1.
 func parseLine(code string) (*lineNode, *Message) {
-	if col := tooDeep(code); col > 0 {
-		return nil, &Message{Col: col, What: "parentheses and nots go too deep",
-			Wanted: fmt.Sprintf("at most %d of them within one another", mostNesting)}
+	if column := excessNestingColumn(code); column > 0 {
+		return nil, &Message{Column: column, Problem: "parentheses and nots go too deep",
+			Expected: fmt.Sprintf("at most %d of them within one another", maxNesting)}
 	}
 	node := &lineNode{}
 	var err error
 	switch {
 	case strings.HasPrefix(strings.TrimLeft(code, " \t"), "["):
-		node.Section, err = sections().ParseString("", code)
-	case beginsMatch(code):
-		node.Match, err = matches().ParseString("", code)
+		node.Section, err = sectionParser().ParseString("", code)
+	case isMatchLine(code):
+		node.Match, err = matchParser().ParseString("", code)
 	default:
-		node.Entry, err = entries().ParseString("", code)
+		node.Entry, err = entryParser().ParseString("", code)
 	}
 	if err == nil {
 		return node, nil
 	}
-	var bad *badText
+	var lexError *syntaxError
 	var unexpected *participle.UnexpectedTokenError
 	var other participle.Error
 	switch {
-	case errors.As(err, &bad):
-		return nil, &Message{Col: bad.col + 1, What: bad.what, Wanted: bad.wanted}
+	case errors.As(err, &lexError):
+		return nil, &Message{Column: lexError.column + 1, Problem: lexError.what, Expected: lexError.wanted}
 	case errors.As(err, &unexpected):
-		what := "the line ends too early"
+		problem := "the line ends too early"
 		if !unexpected.Unexpected.EOF() {
-			what = shown(unexpected.Unexpected.Value) + " does not belong here"
-			if behindFigure(code, unexpected.Position().Offset) && unitNamed(unexpected.Unexpected.Value) != nil {
-				return nil, &Message{Col: unexpected.Position().Column, What: fmt.Sprintf("a space before the unit %q",
-					unexpected.Unexpected.Value), Wanted: "the unit right behind its number"}
+			problem = quoteOnce(unexpected.Unexpected.Value) + " does not belong here"
+			if followsNumber(code, unexpected.Position().Offset) && findUnit(unexpected.Unexpected.Value) != nil {
+				return nil, &Message{Column: unexpected.Position().Column, Problem: fmt.Sprintf("a space before the unit %q",
+					unexpected.Unexpected.Value), Expected: "the unit right behind its number"}
 			}
 		}
-		return nil, &Message{Col: unexpected.Position().Column, What: what, Wanted: wantedOf(code)}
+		return nil, &Message{Column: unexpected.Position().Column, Problem: problem, Expected: expectedSyntax(code)}
 	case errors.As(err, &other):
-		return nil, &Message{Col: max(other.Position().Column, 1), What: other.Message(), Wanted: wantedOf(code)}
+		return nil, &Message{Column: max(other.Position().Column, 1), Problem: other.Message(), Expected: expectedSyntax(code)}
 	}
-	return nil, &Message{Col: 1, What: err.Error(), Wanted: wantedOf(code)}
+	return nil, &Message{Column: 1, Problem: err.Error(), Expected: expectedSyntax(code)}
 }
 
 // shown is a text of the file in a message, in quotes once.
-func shown(text string) string {
+func quoteOnce(text string) string {
 	if strings.HasPrefix(text, `"`) {
 		return text
 	}
@@ -148,43 +148,43 @@
 }
 
 // behindFigure tells that only spaces are between a place and a number before it.
-func behindFigure(code string, at int) bool {
-	before := strings.TrimRight(code[:min(at, len(code))], " \t")
+func followsNumber(code string, offset int) bool {
+	before := strings.TrimRight(code[:min(offset, len(code))], " \t")
 	return before != "" && before[len(before)-1] >= '0' && before[len(before)-1] <= '9'
 }
 
 // tooDeep guards the stack against lines that are nothing but parentheses.
-func tooDeep(code string) (col int) {
+func excessNestingColumn(code string) (column int) {
 	depth, nots := 0, 0
-	for n, at := 0, 0; n < len(code); n++ {
-		if code[n]&0xc0 != 0x80 {
-			at++
+	for index, currentColumn := 0, 0; index < len(code); index++ {
+		if code[index]&0xc0 != 0x80 {
+			currentColumn++
 		}
-		switch code[n] {
+		switch code[index] {
 		case '(':
 			depth++
 		case ')':
 			depth--
 		case 'n':
-			if strings.HasPrefix(code[n:], "not ") || strings.HasPrefix(code[n:], "not(") {
+			if strings.HasPrefix(code[index:], "not ") || strings.HasPrefix(code[index:], "not(") {
 				nots++
 			}
 		}
-		if depth > mostNesting || nots > 4*mostNesting {
-			return at
+		if depth > maxNesting || nots > 4*maxNesting {
+			return currentColumn
 		}
 	}
 	return 0
 }
 
 // wantedOf says what a line that begins so should look like.
-func wantedOf(code string) string {
+func expectedSyntax(code string) string {
 	code = strings.TrimSpace(code)
-	key, _, assigns := strings.Cut(code, "=")
+	key, _, hasEquals := strings.Cut(code, "=")
 	switch {
 	case strings.HasPrefix(code, "["):
 		return `a section such as [pool "norte"]`
-	case strings.TrimSpace(key) == "match" && assigns:
+	case strings.TrimSpace(key) == "match" && hasEquals:
 		return "a match such as: type = consulta and (cost < 2core-s or customer in (inegi, censo-*))"
 	}
 	return "key = value, or a list of values with commas"
--- a/config/lang/lang_test.go
+++ b/config/lang/lang_test.go
@@ -28,7 +28,7 @@
 var testPlatform = &Platform{
 	Classes: []PlatformClass{
 		{Name: "lookup", LatencyTarget: time.Second, Deadline: 5 * time.Second},
-		{Name: "load", LatencyTarget: 3 * time.Second, Deadline: 20 * time.Second, Window: 12 * time.Second, Keyed: true},
+		{Name: "load", LatencyTarget: 3 * time.Second, Deadline: 20 * time.Second, DedupWindow: 12 * time.Second, Keyed: true},
 		{Name: "export", LatencyTarget: 5 * time.Second, Deadline: 20 * time.Second, Locations: []string{"east"}, Kinds: []string{"big"}},
 	},
 	Locations: []string{"east", "west"}, Kinds: []string{"std", "big"}, Customers: []string{"censo-norte", "inegi"},
@@ -146,7 +146,7 @@
 	if err := os.WriteFile("operator.conf", []byte(b.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := Load("operator.conf", nil).Messages; len(got) == 0 || len(got) > mostMessages+1 ||
+	if got := Load("operator.conf", nil).Messages; len(got) == 0 || len(got) > maxMessages+1 ||
 		!strings.Contains(got[0].String(), "operator.conf:100001:1: error: more than 50000 sections") {
 		t.Error(len(got), got[0])
 	}
--- a/config/lang/lexer.go
+++ b/config/lang/lexer.go
@@ -12,22 +12,22 @@
 
 // The kinds of tokens of a line.
 const (
-	wordToken    lexer.TokenType = iota + 1 // a bare word, which may hold wildcards
-	stringToken                             // in quotes, as it stands in the file
-	figureToken                             // a number with what hangs on it: 12ms, 50/s, 20%, 2core-s
-	markToken                               // = != < <= > >= ( ) [ ] , ..
-	keywordToken                            // and or not in
+	wordToken        lexer.TokenType = iota + 1 // a bare word, which may hold wildcards
+	stringToken                                 // in quotes, as it stands in the file
+	quantityToken                               // a number with what hangs on it: 12ms, 50/s, 20%, 2core-s
+	punctuationToken                            // = != < <= > >= ( ) [ ] , ..
+	keywordToken                                // and or not in
 )
 
 // words is the lexer of one line, without its comment.
-type words struct{}
+type lineLexer struct{}
 
-func (words) Symbols() map[string]lexer.TokenType {
+func (lineLexer) Symbols() map[string]lexer.TokenType {
 	return map[string]lexer.TokenType{"EOF": lexer.EOF, "Word": wordToken, "String": stringToken,
-		"Figure": figureToken, "Mark": markToken, "Keyword": keywordToken}
+		"Figure": quantityToken, "Mark": punctuationToken, "Keyword": keywordToken}
 }
 
-func (w words) Lex(name string, r io.Reader) (lexer.Lexer, error) {
+func (w lineLexer) Lex(name string, r io.Reader) (lexer.Lexer, error) {
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return nil, err
@@ -35,14 +35,14 @@
 	return w.LexString(name, string(text))
 }
 
-func (words) LexString(_ string, text string) (lexer.Lexer, error) {
+func (lineLexer) LexString(_ string, text string) (lexer.Lexer, error) {
 	return &scanner{text: text}, nil
 }
 
 type scanner struct {
-	text string
-	at   int
-	col  int // characters before at
+	text   string
+	offset int
+	column int // characters before at
 }
 
 func isWordStart(r rune) bool {
@@ -54,79 +54,79 @@
 }
 
 // badText is an error of the lexer, at a column from 0.
-type badText struct {
-	col          int
+type syntaxError struct {
+	column       int
 	what, wanted string
 }
 
-func (b *badText) Error() string { return b.what }
+func (b *syntaxError) Error() string { return b.what }
 
 // Next gives the next token; its column counts characters from 1.
 func (s *scanner) Next() (lexer.Token, error) {
-	for s.at < len(s.text) && (s.text[s.at] == ' ' || s.text[s.at] == '\t') {
-		s.at, s.col = s.at+1, s.col+1
+	for s.offset < len(s.text) && (s.text[s.offset] == ' ' || s.text[s.offset] == '\t') {
+		s.offset, s.column = s.offset+1, s.column+1
 	}
-	pos := lexer.Position{Offset: s.at, Line: 1, Column: s.col + 1}
-	if s.at == len(s.text) {
+	pos := lexer.Position{Offset: s.offset, Line: 1, Column: s.column + 1}
+	if s.offset == len(s.text) {
 		return lexer.EOFToken(pos), nil
 	}
-	rest := s.text[s.at:]
+	rest := s.text[s.offset:]
 	r, _ := utf8.DecodeRuneInString(rest)
-	take := func(kind lexer.TokenType, size int) (lexer.Token, error) {
-		s.at += size
-		s.col += utf8.RuneCountInString(rest[:size])
+	emit := func(kind lexer.TokenType, size int) (lexer.Token, error) {
+		s.offset += size
+		s.column += utf8.RuneCountInString(rest[:size])
 		return lexer.Token{Type: kind, Value: rest[:size], Pos: pos}, nil
 	}
 	switch {
 	case r == '"':
-		for n := 1; n < len(rest); n++ {
-			switch rest[n] {
+		for index := 1; index < len(rest); index++ {
+			switch rest[index] {
 			case '\\':
-				n++
+				index++
 			case '"':
-				return take(stringToken, n+1)
+				return emit(stringToken, index+1)
 			}
 		}
-		return lexer.Token{}, &badText{s.col, "a text in quotes that does not end", `a closing " on the same line`}
+		return lexer.Token{}, &syntaxError{s.column, "a text in quotes that does not end", `a closing " on the same line`}
 	case r >= '0' && r <= '9':
 		size := 0
 		for size < len(rest) {
-			ch, width := utf8.DecodeRuneInString(rest[size:])
-			if ch == '.' && strings.HasPrefix(rest[size:], "..") {
+			char, width := utf8.DecodeRuneInString(rest[size:])
+			if char == '.' && strings.HasPrefix(rest[size:], "..") {
 				break
 			}
-			if !isWordPart(ch) && ch != '/' && ch != '%' && ch != 'µ' {
+			if !isWordPart(char) && char != '/' && char != '%' && char != 'µ' {
 				break
 			}
 			size += width
 		}
-		return take(figureToken, size)
+		return emit(quantityToken, size)
 	case rest == `\`:
-		return lexer.Token{}, &badText{s.col, "a backslash at the end of the line", "a character behind it, which it takes by its word"}
+		return lexer.Token{}, &syntaxError{s.column, "a backslash at the end of the line", "a character behind it, which it takes by its word"}
 	case isWordStart(r) || r == '\\':
 		size := 0
 		for size < len(rest) {
-			ch, width := utf8.DecodeRuneInString(rest[size:])
-			if ch == '\\' && size+1 < len(rest) {
+			char, width := utf8.DecodeRuneInString(rest[size:])
+			if char == '\\' && size+1 < len(rest) {
 				_, next := utf8.DecodeRuneInString(rest[size+1:])
 				width += next
-			} else if !isWordPart(ch) || strings.HasPrefix(rest[size:], "..") {
+			} else if !isWordPart(char) || strings.HasPrefix(rest[size:], "..") {
 				break
 			}
 			size += width
 		}
 		switch rest[:size] {
 		case "and", "or", "not", "in":
-			return take(keywordToken, size)
+			return emit(keywordToken, size)
 		}
-		return take(wordToken, size)
+		return emit(wordToken, size)
 	}
 	for _, mark := range [...]string{"..", "!=", "<=", ">=", "=", "<", ">", "(", ")", "[", "]", ","} {
 		if strings.HasPrefix(rest, mark) {
-			return take(markToken, len(mark))
+			return emit(punctuationToken, len(mark))
 		}
 	}
-	return lexer.Token{}, &badText{s.col, fmt.Sprintf("character %q does not belong here", r),
+	return lexer.Token{}, &syntaxError{s.column, fmt.Sprintf("character %q does not belong here", r),
 		"a word, a text in quotes, or a number with its unit"}
 }
 
@@ -134,14 +134,14 @@
 // outside of quotes.
 func cutComment(line string) (code, comment string) {
 	quoted := false
-	for n := 0; n < len(line); n++ {
-		switch ch := line[n]; {
-		case quoted && ch == '\\':
-			n++
-		case ch == '"':
+	for index := 0; index < len(line); index++ {
+		switch char := line[index]; {
+		case quoted && char == '\\':
+			index++
+		case char == '"':
 			quoted = !quoted
-		case !quoted && (ch == '#' || ch == ';') && (n == 0 || line[n-1] == ' ' || line[n-1] == '\t'):
-			return line[:n], line[n:]
+		case !quoted && (char == '#' || char == ';') && (index == 0 || line[index-1] == ' ' || line[index-1] == '\t'):
+			return line[:index], line[index:]
 		}
 	}
 	return line, ""
--- a/config/lang/match.go
+++ b/config/lang/match.go
@@ -30,170 +30,170 @@
 }
 
 // match makes a match of an expression.
-func (c *checker) match(at *line, node *orNode) *route.Match {
-	var of []*route.Match
-	for _, and := range node.Of {
-		var all []*route.Match
-		for _, not := range and.Of {
-			all = append(all, c.not(at, not))
+func (c *checker) buildMatch(line *sourceLine, node *orNode) *route.Match {
+	var alternatives []*route.Match
+	for _, and := range node.Operands {
+		var conditions []*route.Match
+		for _, not := range and.Operands {
+			conditions = append(conditions, c.buildNot(line, not))
 		}
-		of = append(of, joined(route.And, all))
+		alternatives = append(alternatives, combine(route.And, conditions))
 	}
-	return joined(route.Or, of)
+	return combine(route.Or, alternatives)
 }
 
-func joined(op route.Op, of []*route.Match) *route.Match {
-	if len(of) == 1 {
-		return of[0]
+func combine(op route.Op, operands []*route.Match) *route.Match {
+	if len(operands) == 1 {
+		return operands[0]
 	}
-	return &route.Match{Op: op, Of: of}
+	return &route.Match{Op: op, Of: operands}
 }
 
-func (c *checker) not(at *line, node *notNode) *route.Match {
+func (c *checker) buildNot(line *sourceLine, node *notNode) *route.Match {
 	switch {
 	case node.Not != nil:
-		return &route.Match{Op: route.Not, Of: []*route.Match{c.not(at, node.Not)}}
-	case node.Of != nil:
-		return c.match(at, node.Of)
+		return &route.Match{Op: route.Not, Of: []*route.Match{c.buildNot(line, node.Not)}}
+	case node.Group != nil:
+		return c.buildMatch(line, node.Group)
 	}
-	return c.term(at, node.Term)
+	return c.buildTerm(line, node.Term)
 }
 
-func (c *checker) term(at *line, node *termNode) *route.Match {
+func (c *checker) buildTerm(line *sourceLine, node *termNode) *route.Match {
 	if node.All {
 		return &route.Match{}
 	}
-	for _, t := range terms {
-		if t.name != node.Field {
+	for _, term := range terms {
+		if term.name != node.Field {
 			continue
 		}
-		m := &route.Match{Op: route.In, Field: t.field, Source: formatTerm(node)}
-		if t.field < route.Tables {
-			return c.texts(at, node, m)
+		match := &route.Match{Op: route.In, Field: term.field, Source: formatTerm(node)}
+		if term.field < route.Tables {
+			return c.buildTextTerm(line, node, match)
 		}
-		return c.figures(at, node, m, t.kind)
+		return c.buildQuantityTerm(line, node, match, term.kind)
 	}
-	c.say(at, node.Pos.Column, fmt.Sprintf("a match knows no %q%s", node.Field, meant(node.Field, termNames())),
+	c.reportError(line, node.Pos.Column, fmt.Sprintf("a match knows no %q%s", node.Field, suggestion(node.Field, termNames())),
 		"one of "+strings.Join(termNames(), ", "))
 	return &route.Match{}
 }
 
-func (c *checker) texts(at *line, node *termNode, m *route.Match) *route.Match {
+func (c *checker) buildTextTerm(line *sourceLine, node *termNode, match *route.Match) *route.Match {
 	values := node.Values
 	if node.Value != nil {
 		values = []*valueNode{node.Value}
 	}
 	if node.Op != "" && node.Op != "=" && node.Op != "!=" {
-		c.say(at, node.Pos.Column, fmt.Sprintf("%s is a text, which is not larger or smaller", node.Field),
+		c.reportError(line, node.Pos.Column, fmt.Sprintf("%s is a text, which is not larger or smaller", node.Field),
 			"=, !=, in or not in")
 	}
-	for _, v := range values {
-		if v.To != nil {
-			c.say(at, v.Pos.Column, fmt.Sprintf("%s is a text, which has no ranges", node.Field), "a list of texts")
+	for _, value := range values {
+		if value.To != nil {
+			c.reportError(line, value.Pos.Column, fmt.Sprintf("%s is a text, which has no ranges", node.Field), "a list of texts")
 			continue
 		}
-		word := v.word()
-		m.Texts = append(m.Texts, route.Pattern(word))
-		c.known(at, v.Pos.Column, m.Field, route.Pattern(word))
+		word := value.word()
+		match.Texts = append(match.Texts, route.Pattern(word))
+		c.checkKnownText(line, value.Pos.Column, match.Field, route.Pattern(word))
 	}
 	if node.Op == "!=" || node.NotIn {
-		return &route.Match{Op: route.Not, Of: []*route.Match{m}}
+		return &route.Match{Op: route.Not, Of: []*route.Match{match}}
 	}
-	return m
+	return match
 }
 
 // known checks that a text that a term names is one that the platform has.
-func (c *checker) known(at *line, col int, f route.Field, p route.Pattern) {
+func (c *checker) checkKnownText(line *sourceLine, column int, field route.Field, pattern route.Pattern) {
 	if c.platform == nil {
 		return
 	}
-	var list []string
-	switch f {
+	var known []string
+	switch field {
 	case route.Type:
-		for _, t := range c.platform.Classes {
-			list = append(list, t.Name)
+		for _, class := range c.platform.Classes {
+			known = append(known, class.Name)
 		}
 	case route.Customer:
-		list = c.platform.Customers
+		known = c.platform.Customers
 	case route.Front:
-		list = c.platform.Fronts
+		known = c.platform.Fronts
 	}
-	if len(list) == 0 || slices.ContainsFunc(list, p.Matches) {
+	if len(known) == 0 || slices.ContainsFunc(known, pattern.Matches) {
 		return
 	}
-	shown := list
+	shown := known
 	if len(shown) > 8 {
 		shown = append(slices.Clone(shown[:8]), "…")
 	}
-	c.say(at, col, fmt.Sprintf("the platform has no %s %q%s", f, p, meant(string(p), list)), "one of "+strings.Join(shown, ", "))
+	c.reportError(line, column, fmt.Sprintf("the platform has no %s %q%s", field, pattern, suggestion(string(pattern), known)), "one of "+strings.Join(shown, ", "))
 }
 
-func (c *checker) figures(at *line, node *termNode, m *route.Match, kind unitKind) *route.Match {
-	k := &key{name: node.Field, form: figureForm, kind: kind, most: math.MaxInt64}
-	read := func(f *figureNode) (int64, bool) {
-		out, ok := c.figure(at, f, k)
-		return out.Value, ok
-	}
-	whole := func(v *valueNode) bool {
-		if v.From == nil {
-			c.say(at, v.Pos.Column, fmt.Sprintf("%s: %q is no number", node.Field, v.word()), c.wanted(k))
+func (c *checker) buildQuantityTerm(line *sourceLine, node *termNode, match *route.Match, kind unitKind) *route.Match {
+	spec := &keySpec{name: node.Field, form: quantityForm, kind: kind, max: math.MaxInt64}
+	read := func(number *quantityNode) (int64, bool) {
+		quantity, ok := c.readQuantity(line, number, spec)
+		return quantity.Value, ok
+	}
+	isNumber := func(value *valueNode) bool {
+		if value.From == nil {
+			c.reportError(line, value.Pos.Column, fmt.Sprintf("%s: %q is no number", node.Field, value.word()), c.expectedValue(spec))
 		}
-		return v.From != nil
+		return value.From != nil
 	}
 	if node.Value != nil {
-		v := node.Value
-		if !whole(v) {
-			return m
+		value := node.Value
+		if !isNumber(value) {
+			return match
 		}
-		if v.To != nil {
-			c.say(at, v.Pos.Column, "a range behind "+node.Op, fmt.Sprintf("%s in (1..20)", node.Field))
-			return m
+		if value.To != nil {
+			c.reportError(line, value.Pos.Column, "a range behind "+node.Op, fmt.Sprintf("%s in (1..20)", node.Field))
+			return match
 		}
-		x, ok := read(v.From)
+		bound, ok := read(value.From)
 		if !ok {
-			return m
+			return match
 		}
 		switch node.Op {
 		case "=":
-			m.Ranges = []route.Range{{From: x, To: x}}
+			match.Ranges = []route.Range{{From: bound, To: bound}}
 		case "<":
-			m.Ranges = []route.Range{{From: 0, To: x - 1}}
+			match.Ranges = []route.Range{{From: 0, To: bound - 1}}
 		case "<=":
-			m.Ranges = []route.Range{{From: 0, To: x}}
+			match.Ranges = []route.Range{{From: 0, To: bound}}
 		case ">":
-			m.Ranges = []route.Range{{From: min(x, math.MaxInt64-1) + 1, To: math.MaxInt64}}
+			match.Ranges = []route.Range{{From: min(bound, math.MaxInt64-1) + 1, To: math.MaxInt64}}
 		case ">=":
-			m.Ranges = []route.Range{{From: x, To: math.MaxInt64}}
+			match.Ranges = []route.Range{{From: bound, To: math.MaxInt64}}
 		case "!=":
-			m.Ranges = []route.Range{{From: 0, To: x - 1}, {From: min(x, math.MaxInt64-1) + 1, To: math.MaxInt64}}
+			match.Ranges = []route.Range{{From: 0, To: bound - 1}, {From: min(bound, math.MaxInt64-1) + 1, To: math.MaxInt64}}
 		}
-		return m
+		return match
 	}
-	for _, v := range node.Values {
-		if !whole(v) {
+	for _, value := range node.Values {
+		if !isNumber(value) {
 			continue
 		}
-		from, ok := read(v.From)
+		from, ok := read(value.From)
 		to := from
-		if v.To != nil {
-			var fine bool
-			to, fine = read(v.To)
-			ok = ok && fine
+		if value.To != nil {
+			var toOK bool
+			to, toOK = read(value.To)
+			ok = ok && toOK
 		}
 		if !ok {
 			continue
 		}
 		if to < from {
-			c.say(at, v.Pos.Column, fmt.Sprintf("%s: the range ends before it begins", node.Field), "the smaller figure first")
+			c.reportError(line, value.Pos.Column, fmt.Sprintf("%s: the range ends before it begins", node.Field), "the smaller figure first")
 			continue
 		}
-		m.Ranges = append(m.Ranges, route.Range{From: from, To: to})
+		match.Ranges = append(match.Ranges, route.Range{From: from, To: to})
 	}
 	if node.NotIn {
 		// A comparison, which does not hold for what is not told.
 		return &route.Match{Op: route.And, Of: []*route.Match{
-			{Op: route.In, Field: m.Field, Ranges: []route.Range{{From: 0, To: math.MaxInt64}}, Source: node.Field + " is told"},
-			{Op: route.Not, Of: []*route.Match{m}}}}
+			{Op: route.In, Field: match.Field, Ranges: []route.Range{{From: 0, To: math.MaxInt64}}, Source: node.Field + " is told"},
+			{Op: route.Not, Of: []*route.Match{match}}}}
 	}
-	return m
+	return match
 }
--- a/config/lang/units.go
+++ b/config/lang/units.go
@@ -26,15 +26,15 @@
 }
 
 // form shows how a value of a kind is written.
-func (k unitKind) form() string {
+func (k unitKind) example() string {
 	return [...]string{"a whole number such as 20", "a duration such as 250ms, 2s or 1m", "a size such as 64MB",
 		"a rate such as 50/s or 30/m", "a share such as 25%", "core time such as 250core-ms or 2core-s"}[k]
 }
 
 type unit struct {
-	name string
-	kind unitKind
-	is   int64 // of the least unit: ns, bytes, jobs a second divided by (see rate), 1
+	name  string
+	kind  unitKind
+	scale int64 // of the least unit: ns, bytes, jobs a second divided by (see rate), 1
 }
 
 // units are listed from large to small within a kind, which is the order in which a canonical one is looked for.
@@ -51,138 +51,138 @@
 
 // Figure is a value with its unit. Value counts the least unit of its kind: nanoseconds, bytes, core nanoseconds,
 // jobs an hour, millionths of a percent, ones.
-type Figure struct {
+type Quantity struct {
 	Kind  unitKind
 	Value int64
 }
 
-const shareUnit = 1_000_000 // of a percent
+const unitsPerPercent = 1_000_000 // of a percent
 
 // parseFigure reads a number with its unit; the error says what is wrong.
-func parseFigure(text string) (Figure, error) {
-	at := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' })
-	if at < 0 {
-		at = len(text)
+func parseQuantity(text string) (Quantity, error) {
+	unitStart := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' })
+	if unitStart < 0 {
+		unitStart = len(text)
 	}
-	number, name := text[:at], text[at:]
-	if name == "µs" {
-		name = "us"
+	number, unitName := text[:unitStart], text[unitStart:]
+	if unitName == "µs" {
+		unitName = "us"
 	}
-	found := unitNamed(name)
+	found := findUnit(unitName)
 	if found == nil {
-		if f, ok := compound(text); ok {
-			return f, nil
+		if quantity, ok := parseCompoundDuration(text); ok {
+			return quantity, nil
 		}
-		if other := otherNames[strings.ToLower(name)]; other != "" {
-			return Figure{}, fmt.Errorf("unit %q is not known; did you mean %q?", name, other)
+		if alias := unitAliases[strings.ToLower(unitName)]; alias != "" {
+			return Quantity{}, fmt.Errorf("unit %q is not known; did you mean %q?", unitName, alias)
 		}
 		names := []string{}
 		for _, u := range units {
-			if strings.EqualFold(u.name, name) {
-				return Figure{}, fmt.Errorf("unit %q is not known; did you mean %q?", name, u.name)
+			if strings.EqualFold(u.name, unitName) {
+				return Quantity{}, fmt.Errorf("unit %q is not known; did you mean %q?", unitName, u.name)
 			}
 			names = append(names, u.name)
 		}
-		return Figure{}, fmt.Errorf("unit %q is not known%s", name, meant(name, names))
+		return Quantity{}, fmt.Errorf("unit %q is not known%s", unitName, suggestion(unitName, names))
 	}
 	if len(number) > 40 || strings.Count(number, ".") > 1 || strings.HasSuffix(number, ".") {
-		return Figure{}, fmt.Errorf("%q is no number", number)
+		return Quantity{}, fmt.Errorf("%q is no number", number)
 	}
-	is := found.is
+	scale := found.scale
 	switch found.kind {
 	case rate:
-		is = 3600 / found.is
+		scale = 3600 / found.scale
 	case share:
-		is = shareUnit
+		scale = unitsPerPercent
 	}
-	value, fine := exact(number, is)
+	value, isExact := multiplyExact(number, scale)
 	switch {
-	case !fine && found.kind == count:
-		return Figure{}, fmt.Errorf("%q is no whole number", text)
-	case !fine && found.kind == rate:
-		return Figure{}, fmt.Errorf("%q is no whole number of jobs an hour", text)
-	case !fine:
-		return Figure{}, fmt.Errorf("%q is finer than the least unit", text)
+	case !isExact && found.kind == count:
+		return Quantity{}, fmt.Errorf("%q is no whole number", text)
+	case !isExact && found.kind == rate:
+		return Quantity{}, fmt.Errorf("%q is no whole number of jobs an hour", text)
+	case !isExact:
+		return Quantity{}, fmt.Errorf("%q is finer than the least unit", text)
 	case value < 0:
-		return Figure{}, fmt.Errorf("%q is too large", text)
+		return Quantity{}, fmt.Errorf("%q is too large", text)
 	}
-	return Figure{found.kind, value}, nil
+	return Quantity{found.kind, value}, nil
 }
 
 // otherNames are what units are called elsewhere.
-var otherNames = map[string]string{"sec": "s", "secs": "s", "second": "s", "seconds": "s", "msec": "ms", "millis": "ms",
+var unitAliases = map[string]string{"sec": "s", "secs": "s", "second": "s", "seconds": "s", "msec": "ms", "millis": "ms",
 	"usec": "us", "min": "m", "mins": "m", "minutes": "m", "hour": "h", "hours": "h", "rps": "/s", "/sec": "/s",
 	"/min": "/m", "/hour": "/h", "percent": "%", "core": "core-s", "cores": "core-s", "cpu-s": "core-s",
 	"cpu-ms": "core-ms", "k": "KB", "mib": "MB", "gib": "GB", "kib": "KB"}
 
-func unitNamed(name string) *unit {
-	for n := range units {
-		if units[n].name == name {
-			return &units[n]
+func findUnit(name string) *unit {
+	for index := range units {
+		if units[index].name == name {
+			return &units[index]
 		}
 	}
 	return nil
 }
 
 // exact multiplies a decimal number by a unit: -1 where it is too large, false where something is left over.
-func exact(number string, is int64) (int64, bool) {
+func multiplyExact(number string, scale int64) (int64, bool) {
 	if n, err := strconv.ParseInt(number, 10, 64); err == nil {
-		if n > math.MaxInt64/is {
+		if n > math.MaxInt64/scale {
 			return -1, true
 		}
-		return n * is, true
+		return n * scale, true
 	}
-	r, ok := new(big.Rat).SetString(number)
+	product, ok := new(big.Rat).SetString(number)
 	if !ok {
 		return 0, false
 	}
-	r.Mul(r, new(big.Rat).SetInt64(is))
+	product.Mul(product, new(big.Rat).SetInt64(scale))
 	switch {
-	case !r.IsInt():
+	case !product.IsInt():
 		return 0, false
-	case !r.Num().IsInt64():
+	case !product.Num().IsInt64():
 		return -1, true
 	}
-	return r.Num().Int64(), true
+	return product.Num().Int64(), true
 }
 
 // compound reads durations of several parts, such as 1m30s.
-func compound(text string) (Figure, bool) {
-	d, err := time.ParseDuration(text)
-	return Figure{duration, int64(d)}, err == nil && d >= 0
+func parseCompoundDuration(text string) (Quantity, bool) {
+	parsed, err := time.ParseDuration(text)
+	return Quantity{duration, int64(parsed)}, err == nil && parsed >= 0
 }
 
 // String writes a figure in its canonical form, in the largest unit that leaves a whole number.
-func (f Figure) String() string {
-	switch f.Kind {
+func (q Quantity) String() string {
+	switch q.Kind {
 	case count:
-		return strconv.FormatInt(f.Value, 10)
+		return strconv.FormatInt(q.Value, 10)
 	case share:
-		s := strconv.FormatInt(f.Value/shareUnit, 10)
-		if rest := f.Value % shareUnit; rest > 0 {
-			s += "." + strings.TrimRight(fmt.Sprintf("%06d", rest), "0")
+		text := strconv.FormatInt(q.Value/unitsPerPercent, 10)
+		if rest := q.Value % unitsPerPercent; rest > 0 {
+			text += "." + strings.TrimRight(fmt.Sprintf("%06d", rest), "0")
 		}
-		return s + "%"
+		return text + "%"
 	case rate:
 		for _, u := range []unit{{"/s", rate, 3600}, {"/m", rate, 60}, {"/h", rate, 1}} {
-			if f.Value%u.is == 0 {
-				return strconv.FormatInt(f.Value/u.is, 10) + u.name
+			if q.Value%u.scale == 0 {
+				return strconv.FormatInt(q.Value/u.scale, 10) + u.name
 			}
 		}
 	}
-	if f.Value == 0 {
-		return [...]string{duration: "0ms", size: "0B", work: "0core-ms"}[f.Kind]
+	if q.Value == 0 {
+		return [...]string{duration: "0ms", size: "0B", work: "0core-ms"}[q.Kind]
 	}
 	for _, u := range units {
-		if u.kind == f.Kind && f.Value%u.is == 0 {
-			return strconv.FormatInt(f.Value/u.is, 10) + u.name
+		if u.kind == q.Kind && q.Value%u.scale == 0 {
+			return strconv.FormatInt(q.Value/u.scale, 10) + u.name
 		}
 	}
 	return ""
 }
 
 // perSecond gives a rate.
-func (f Figure) perSecond() float64 { return float64(f.Value) / 3600 }
+func (q Quantity) perSecond() float64 { return float64(q.Value) / 3600 }
 
 // part gives a share from 0 to 1.
-func (f Figure) part() float64 { return float64(f.Value) / (100 * shareUnit) }
+func (q Quantity) fraction() float64 { return float64(q.Value) / (100 * unitsPerPercent) }
--- a/config/platform.go
+++ b/config/platform.go
@@ -13,56 +13,56 @@
 
 // Platform is what an operators' file can be checked against.
 func (c *Config) Platform() lang.Platform {
-	s := &c.Settings.Logic
-	p := lang.Platform{Fronts: []string{"framed"}}
-	locations := []logic.Location{s.Location}
-	for _, t := range s.Classes {
-		known := lang.PlatformClass{Name: string(t.Name), LatencyTarget: t.LatencyTarget, Deadline: t.Deadline, Window: t.Window,
-			Keyed: t.Repeat == logic.Keyed}
-		for _, l := range t.Locations {
-			known.Locations = append(known.Locations, string(l))
+	settings := &c.Settings.Logic
+	platform := lang.Platform{Fronts: []string{"framed"}}
+	locations := []logic.Location{settings.Location}
+	for _, class := range settings.Classes {
+		platformClass := lang.PlatformClass{Name: string(class.Name), LatencyTarget: class.LatencyTarget, Deadline: class.Deadline, DedupWindow: class.Window,
+			Keyed: class.Repeat == logic.Keyed}
+		for _, location := range class.Locations {
+			platformClass.Locations = append(platformClass.Locations, string(location))
 		}
-		for _, k := range t.Kinds {
-			known.Kinds = append(known.Kinds, string(k))
+		for _, kind := range class.Kinds {
+			platformClass.Kinds = append(platformClass.Kinds, string(kind))
 		}
-		p.Classes = append(p.Classes, known)
-		locations = append(locations, t.Locations...)
+		platform.Classes = append(platform.Classes, platformClass)
+		locations = append(locations, class.Locations...)
 	}
-	for _, e := range c.Engines() {
-		locations = append(locations, logic.Location(e.Location))
+	for _, engine := range c.Engines() {
+		locations = append(locations, logic.Location(engine.Location))
 	}
 	slices.Sort(locations)
-	for _, l := range slices.Compact(locations) {
-		if l != "" {
-			p.Locations = append(p.Locations, string(l))
+	for _, location := range slices.Compact(locations) {
+		if location != "" {
+			platform.Locations = append(platform.Locations, string(location))
 		}
 	}
-	for _, k := range s.Kinds {
-		p.Kinds = append(p.Kinds, string(k.Name))
+	for _, kind := range settings.Kinds {
+		platform.Kinds = append(platform.Kinds, string(kind.Name))
 	}
-	for _, cust := range s.Customers {
-		p.Customers = append(p.Customers, string(cust.Name))
+	for _, customer := range settings.Customers {
+		platform.Customers = append(platform.Customers, string(customer.Name))
 	}
-	return p
+	return platform
 }
 
 // Engines are those that are known at the start, in the order of the list.
 func (c *Config) Engines() []route.Engine {
-	known := map[route.EngineID]int{} // the place of each that is up
+	indexByID := map[route.EngineID]int{} // the place of each that is up
 	var engines []route.Engine
-	_, _, _ = listing.Read(json.RawMessage(c.Known), 0, func(whole bool) {
-		if whole {
+	_, _, _ = listing.Read(json.RawMessage(c.Known), 0, func(isSnapshot bool) {
+		if isSnapshot {
 			engines = nil
-			clear(known)
+			clear(indexByID)
 		}
 	}, func(id logic.EngineID, _ string, location logic.Location, kind logic.KindName, _ logic.Cell, state logic.Health,
 		_ float64, _ time.Duration) {
-		if at, is := known[route.EngineID(id)]; is {
-			engines[at].ID = ""
-			delete(known, route.EngineID(id))
+		if index, listed := indexByID[route.EngineID(id)]; listed {
+			engines[index].ID = ""
+			delete(indexByID, route.EngineID(id))
 		}
 		if state == logic.Up {
-			known[route.EngineID(id)] = len(engines)
+			indexByID[route.EngineID(id)] = len(engines)
 			engines = append(engines, route.Engine{ID: route.EngineID(id), Location: string(location), Kind: string(kind)})
 		}
 	}, func() {})
--- a/config/settings.go
+++ b/config/settings.go
@@ -26,7 +26,7 @@
 
 // ReadSettings takes the figures that are read out of the settings object; other keys are passed over.
 func ReadSettings(raw json.RawMessage) (Settings, error) {
-	var c struct {
+	var document struct {
 		Balancers int `json:"balancers"`
 		Rank      int `json:"rank"`
 		Classes   []struct {
@@ -90,96 +90,96 @@
 		Tick time.Duration  `json:"tick"`
 		Zone logic.Location `json:"zone"`
 	}
-	if err := decode("settings", raw, &c); err != nil {
+	if err := decode("settings", raw, &document); err != nil {
 		return Settings{}, err
 	}
-	s := logic.Settings{
-		Controllers: c.Balancers, Number: c.Rank, Location: c.Zone, OverShareValue: c.OverShareWorth,
-		ListOnRequest: c.Discovery == "on_request", MayRecall: c.Permissions.MayCancel,
-		GrantsCount: c.FamilyInfo.GrantsCount, PriorityHeeded: c.FamilyInfo.RanksHeeded,
-		GrantShare: c.FamilyInfo.GrantCap, OverGrantsPage: c.FamilyInfo.OutOfMemory == "swap",
-		MaxAttempts: c.Permissions.MaxAttempts, Tick: c.Tick,
-		StartCapacity: c.Safety.StartCapacity, Cold: c.Safety.Cold, FallMultiple: c.Safety.TipMultiple,
-		Fall: c.Safety.Fall, KeyQuiet: c.Safety.KeyQuiet, BudgetWindow: c.Safety.BudgetWindow,
-		BudgetFree: c.Safety.ExtraFloor, BudgetShare: c.Safety.ExtraPerRequest,
+	logicSettings := logic.Settings{
+		Controllers: document.Balancers, Number: document.Rank, Location: document.Zone, OverShareValue: document.OverShareWorth,
+		ListOnRequest: document.Discovery == "on_request", MayRecall: document.Permissions.MayCancel,
+		GrantsCount: document.FamilyInfo.GrantsCount, PriorityHeeded: document.FamilyInfo.RanksHeeded,
+		GrantShare: document.FamilyInfo.GrantCap, OverGrantsPage: document.FamilyInfo.OutOfMemory == "swap",
+		MaxAttempts: document.Permissions.MaxAttempts, Tick: document.Tick,
+		StartCapacity: document.Safety.StartCapacity, Cold: document.Safety.Cold, FallMultiple: document.Safety.TipMultiple,
+		Fall: document.Safety.Fall, KeyQuiet: document.Safety.KeyQuiet, BudgetWindow: document.Safety.BudgetWindow,
+		BudgetFree: document.Safety.ExtraFloor, BudgetShare: document.Safety.ExtraPerRequest,
 	}
-	if c.Permissions.RetryAfter {
-		s.MaxComeBack = c.Permissions.MaxRetryAfter
+	if document.Permissions.RetryAfter {
+		logicSettings.MaxComeBack = document.Permissions.MaxRetryAfter
 	}
-	for n, class := range c.Classes {
+	for index, class := range document.Classes {
 		repeat, known := map[string]logic.Repeat{"retryable": logic.Idempotent, "dedup": logic.Keyed,
 			"fragile": logic.NonIdempotent}[class.Repeat]
 		if !known {
-			return Settings{}, faulty(fmt.Sprintf("settings.classes[%d].repeat", n), class.Repeat,
+			return Settings{}, invalidValue(fmt.Sprintf("settings.classes[%d].repeat", index), class.Repeat,
 				"retryable, dedup or fragile")
 		}
-		t := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.Aim, TargetStretch: class.AimStretch,
+		logicClass := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.Aim, TargetStretch: class.AimStretch,
 			Deadline: class.Deadline, Value: class.Gain, LateValue: class.LateWorth, Repeat: repeat,
 			Group:  map[string]logic.Group{"zone": logic.GroupLocation, "cell": logic.GroupCell}[class.Group],
 			Window: class.KeyTTL, Ordered: class.ByArrival, Locations: class.AllowedIn,
-			Kinds: class.MachineTypesOpen, Threads: at(c.FamilyInfo.WidthByClass, n, 1),
-			HoldsLoad: at(c.FamilyInfo.HoldsTables, n, false), StandsBy: at(c.FamilyInfo.BlockedByLoads, n, false)}
-		s.Classes = append(s.Classes, t)
+			Kinds: class.MachineTypesOpen, Threads: valueAt(document.FamilyInfo.WidthByClass, index, 1),
+			HoldsLoad: valueAt(document.FamilyInfo.HoldsTables, index, false), StandsBy: valueAt(document.FamilyInfo.BlockedByLoads, index, false)}
+		logicSettings.Classes = append(logicSettings.Classes, logicClass)
 	}
-	for n, kind := range c.MachineTypes {
-		s.Kinds = append(s.Kinds, logic.EngineKind{Name: kind, Cores: at(c.FamilyInfo.KindCores, n, 1),
-			MemoryMB: at(c.FamilyInfo.RAM, n, 0)})
+	for index, kind := range document.MachineTypes {
+		logicSettings.Kinds = append(logicSettings.Kinds, logic.EngineKind{Name: kind, Cores: valueAt(document.FamilyInfo.KindCores, index, 1),
+			MemoryMB: valueAt(document.FamilyInfo.RAM, index, 0)})
 	}
-	for _, org := range c.Orgs {
-		s.Customers = append(s.Customers, logic.Customer{Name: org.Name, JobsPerS: org.QuotaRPS})
+	for _, org := range document.Orgs {
+		logicSettings.Customers = append(logicSettings.Customers, logic.Customer{Name: org.Name, JobsPerS: org.QuotaRPS})
 	}
-	return Settings{Logic: s, Columns: c.LoadReport.Columns, ConnectTimeout: c.Permissions.Connect,
-		IdleClose: c.Permissions.IdleClose, Streams: c.Permissions.Streams, OpenCap: c.Permissions.OpenCap,
-		Probes: c.Permissions.Probes, Notes: c.FamilyInfo.NotePeriod > 0, DrainGrace: c.Safety.DrainGrace}, nil
+	return Settings{Logic: logicSettings, Columns: document.LoadReport.Columns, ConnectTimeout: document.Permissions.Connect,
+		IdleClose: document.Permissions.IdleClose, Streams: document.Permissions.Streams, OpenCap: document.Permissions.OpenCap,
+		Probes: document.Permissions.Probes, Notes: document.FamilyInfo.NotePeriod > 0, DrainGrace: document.Safety.DrainGrace}, nil
 }
 
 // at is the n-th value of a list that may be shorter, or absent.
-func at[T any](list []T, n int, other T) T {
-	if n < len(list) {
-		return list[n]
+func valueAt[T any](list []T, index int, fallback T) T {
+	if index < len(list) {
+		return list[index]
 	}
-	return other
+	return fallback
 }
 
 // limits has decide/limit speak the module's types.
-type limits struct{ *limit.Limits }
+type limitsAdapter struct{ *limit.Limits }
 
-func (l limits) Within(now time.Duration, c logic.CustomerID) bool {
-	return l.Limits.Within(now, limit.CustomerID(c))
+func (l limitsAdapter) Within(now time.Duration, customer logic.CustomerID) bool {
+	return l.Limits.Within(now, limit.CustomerID(customer))
 }
 
-func (l limits) Engine(cores float64) logic.EngineLimit { return l.Limits.Engine(cores) }
+func (l limitsAdapter) Engine(cores float64) logic.EngineLimit { return l.Limits.Engine(cores) }
 
-func newLimits(s logic.Settings) limits {
-	set := limit.Settings{Controllers: s.Controllers, Number: s.Number, BudgetWindow: s.BudgetWindow, BudgetFree: s.BudgetFree,
-		BudgetShare: s.BudgetShare, StartCapacity: s.StartCapacity, Cold: s.Cold, FallMultiple: s.FallMultiple, Fall: s.Fall}
-	for _, c := range s.Customers {
-		set.Customers = append(set.Customers, limit.Customer{Name: limit.CustomerID(c.Name), JobsPerS: c.JobsPerS})
+func newLimits(settings logic.Settings) limitsAdapter {
+	limitSettings := limit.Settings{Controllers: settings.Controllers, Number: settings.Number, BudgetWindow: settings.BudgetWindow, BudgetFree: settings.BudgetFree,
+		BudgetShare: settings.BudgetShare, StartCapacity: settings.StartCapacity, Cold: settings.Cold, FallMultiple: settings.FallMultiple, Fall: settings.Fall}
+	for _, customer := range settings.Customers {
+		limitSettings.Customers = append(limitSettings.Customers, limit.Customer{Name: limit.CustomerID(customer.Name), JobsPerS: customer.JobsPerS})
 	}
-	return limits{limit.New(set)}
+	return limitsAdapter{limit.New(limitSettings)}
 }
 
 // slowness has decide/thin speak the module's types.
-type slowness struct{ *thin.Book }
+type slownessAdapter struct{ *thin.Book }
 
-func (s slowness) Engine(location logic.Location, kind logic.KindName) logic.EngineSlowness {
+func (s slownessAdapter) Engine(location logic.Location, kind logic.KindName) logic.EngineSlowness {
 	return s.Book.Engine(thin.Location(location), thin.Kind(kind))
 }
 
 // Module makes the decision module with subsets dealt by decide/spread, the limits of decide/limit, and what decide/thin makes
 // of few answers.
-func Module(host logic.Host, s logic.Settings, seed int64) *logic.Controller {
-	s.Limits, s.Slowness = newLimits(s), slowness{thin.New()}
-	s.Order = func(up []logic.Candidate, size int) []logic.Candidate {
-		list, at := make([]spread.Engine, len(up)), make(map[spread.EngineID]logic.Candidate, len(up))
-		for n, e := range up {
-			list[n] = spread.Engine{ID: spread.EngineID(e.ID), Location: spread.Location(e.Location), Capacity: e.Cores}
-			at[list[n].ID] = e
+func Module(host logic.Host, settings logic.Settings, seed int64) *logic.Controller {
+	settings.Limits, settings.Slowness = newLimits(settings), slownessAdapter{thin.New()}
+	settings.Order = func(candidates []logic.Candidate, size int) []logic.Candidate {
+		engines, candidateByID := make([]spread.Engine, len(candidates)), make(map[spread.EngineID]logic.Candidate, len(candidates))
+		for index, candidate := range candidates {
+			engines[index] = spread.Engine{ID: spread.EngineID(candidate.ID), Location: spread.Location(candidate.Location), Capacity: candidate.Cores}
+			candidateByID[engines[index].ID] = candidate
 		}
-		for n, id := range spread.Order(list, s.Controllers, s.Number, size) {
-			up[n] = at[id]
+		for index, id := range spread.Order(engines, settings.Controllers, settings.Number, size) {
+			candidates[index] = candidateByID[id]
 		}
-		return up
+		return candidates
 	}
-	return logic.New(host, s, seed)
+	return logic.New(host, settings, seed)
 }
