--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads and validates the configuration of a controller and applies its defaults. No other package does this.
 package config
 
 import (
@@ -18,25 +18,26 @@
 	"yarrowbarrow/decide/route"
 )
 
-// Config is all that a controller is told at its start.
+// Config is the complete configuration of a controller at startup.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list of engines comes from
-	Known     json.RawMessage
+	Listen    string          // address for client connections
+	Discovery string          // address of the discovery service, the source of the list of engines
+	Known     json.RawMessage // discovery events up to the start, in the format of the discovery service
 	Seed      int64
 	Cores     float64
 	MemoryMB  int64
-	Sockets   int // file descriptors
+	Sockets   int // limit on file descriptors
 	Settings  Settings
-	// The operators' routes, of their file; nil without one.
+	// Plan holds the routes of the operators' file; nil without a file.
 	Plan     *route.Plan
-	Fleet    *lang.Fleet   // whom this instance talks to; nil: to nobody
-	Messages lang.Messages // of its check, also where it was faulty
+	Fleet    *lang.Fleet   // peers of this instance; nil if it has none
+	Messages lang.Messages // findings in the operators' file, also set if its check failed
 }
 
-// FromEnvironment reads the file that BALANCER_CONFIG names; BALANCER_NAME and BALANCER_LISTEN go before it. The
-// operators' file is read and checked against it, where one is named.
+// FromEnvironment reads the configuration file named by BALANCER_CONFIG. BALANCER_NAME and BALANCER_LISTEN override its
+// name and listen address if they are not empty. If operatorsPath is not empty, the operators' file there is read and checked
+// against the configuration.
 func FromEnvironment(operatorsPath string) (Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
@@ -53,11 +54,12 @@
 	return cfg, err
 }
 
-// mostFile is the longest configuration in bytes: the longest list that discovery may tell, and as much again of settings as any
-// deployment has.
+// maxConfigBytes limits the size of the configuration file. It has room for the longest list of engines that discovery may
+// send, plus the largest settings of any deployment.
 const maxConfigBytes = 10 << 20
 
-// readFile reads a file, or a pipe, that may be of any length.
+// readFile reads a file or a pipe and fails if it has more than maxConfigBytes. The size of a pipe is known only after reading,
+// so the limit is checked again then.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -65,15 +67,16 @@
 	}
 	defer f.Close()
 	if info, err := f.Stat(); err == nil && info.Size() > maxConfigBytes {
-		return nil, fmt.Errorf("%d bytes, at most %d are read", info.Size(), maxConfigBytes)
+		return nil, fmt.Errorf("file has %d bytes, the maximum is %d", info.Size(), maxConfigBytes)
 	}
 	raw, err := io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
 	if err == nil && len(raw) > maxConfigBytes {
-		err = fmt.Errorf("more than %d bytes", maxConfigBytes)
+		err = fmt.Errorf("file is larger than the maximum of %d bytes", maxConfigBytes)
 	}
 	return raw, err
 }
 
+// loadOperators loads the operators' file and checks it against the platform's settings in c. The messages are set in any case.
 func (c *Config) loadOperators(path string) error {
 	platform := c.Platform()
 	loaded := lang.Load(path, &platform)
@@ -81,9 +84,9 @@
 	return loaded.Messages.Err()
 }
 
-// Read takes the file's text; a name and an address to listen on that are not empty go before the file's.
+// Read parses and validates the text of a configuration file. A non-empty name or listen address overrides that of the file.
 func Read(raw []byte, name, listen string) (Config, error) {
-	// What a small machine of ours has, where nothing is said.
+	// The defaults for limits that the file does not set are those of a small machine.
 	cfg := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
 	var file struct {
 		Name      string          `json:"name"`
@@ -113,7 +116,7 @@
 		return cfg, invalidValue("settings", "", "an object")
 	}
 	if len(cfg.Known) == 0 {
-		return cfg, invalidValue("known", "", "the events of discovery up to now")
+		return cfg, invalidValue("known", "", "the discovery events up to now")
 	}
 	var err error
 	if cfg.Settings, err = ReadSettings(file.Settings); err != nil {
@@ -121,22 +124,22 @@
 	}
 	settings := &cfg.Settings
 	return cfg, errors.Join(
-		checkValue(cfg.Name != "", "name", cfg.Name, "a name"),
+		checkValue(cfg.Name != "", "name", cfg.Name, "a non-empty name"),
 		checkValue(isAddress(cfg.Listen), "listen", cfg.Listen, "an address such as 127.0.0.1:5050"),
 		checkValue(isAddress(cfg.Discovery), "feed", cfg.Discovery, "an address such as 127.0.0.1:7070"),
 		checkValue(seedErr == nil, "seed", file.Seed, "up to 16 hex digits"),
-		checkValue(cfg.Cores > 0 && cfg.Cores <= 1024, "limits.cores", cfg.Cores, "above 0 to 1024"),
+		checkValue(cfg.Cores > 0 && cfg.Cores <= 1024, "limits.cores", cfg.Cores, "more than 0, up to 1024"),
 		checkValue(cfg.MemoryMB >= 32, "limits.memory_mb", cfg.MemoryMB, "32 or more"),
 		checkValue(cfg.Sockets >= 64, "limits.sockets", cfg.Sockets, "64 or more"),
 		checkValue(settings.ConnectTimeout > 0, "settings.permissions.connect_timeout", settings.ConnectTimeout, "above 0"),
 		checkValue(settings.IdleClose >= 0, "settings.permissions.idle_close", settings.IdleClose, "0 (never) or above"),
-		checkValue(settings.DrainGrace >= 0, "settings.safety.drain_grace", settings.DrainGrace, "0 (not told) or above"),
+		checkValue(settings.DrainGrace >= 0, "settings.safety.drain_grace", settings.DrainGrace, "0 (not specified) or above"),
 		checkValue(settings.Streams > 0, "settings.permissions.streams_per_conn", settings.Streams, "1 or more"),
 		checkValue(settings.OpenCap >= 0, "settings.permissions.open_cap", settings.OpenCap, "0 (no limit) or above"))
 }
 
-// Differs names the keys whose values differ in another configuration and that a running controller can't take
-// over. Discovery it can; the seed and what is known are of a start.
+// Differs returns the sorted keys whose values differ in next and that take effect only after a restart. The address of
+// discovery can change at runtime; the seed and the known events matter only at startup, so they are not compared.
 func (current Config) Differs(next Config) (keys []string) {
 	for key, differs := range map[string]bool{
 		"name": current.Name != next.Name, "listen": current.Listen != next.Listen, "limits.cores": current.Cores != next.Cores,
@@ -182,13 +185,14 @@
 	return fmt.Errorf("%s: %q is not allowed, wanted: %s", key, fmt.Sprint(value), allowed)
 }
 
-// decode names the key of a value that has the wrong form.
+// decode unmarshals JSON into target. The error for a value of the wrong type names its key; parentKey is the key of the object
+// that raw holds, or empty for the whole file.
 func decode(parentKey string, raw []byte, target any) error {
 	err := json.Unmarshal(raw, target)
 	var typeErr *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &typeErr):
-		key := strings.ToLower(typeErr.Field) // as the file has it: fields without a tag are named by their Go name
+		key := strings.ToLower(typeErr.Field) // the key as in the file; fields without a tag are reported by their Go name
 		if parentKey != "" {
 			key = parentKey + "." + key
 		}
--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -12,7 +12,7 @@
 	"yarrowbarrow/decide/route"
 )
 
-// Platform is what the platform's settings say that a file can be checked against.
+// Platform holds the parts of the platform's settings that a file is checked against. Values are not checked against an empty list.
 type Platform struct {
 	Classes   []PlatformClass
 	Locations []string
@@ -21,47 +21,47 @@
 	Fronts    []string
 }
 
-// PlatformClass is a class of the platform. Window is how long engines remember what they ran, for keyed
-// ones.
+// PlatformClass is a job class of the platform. DedupWindow is how long engines remember the jobs that they ran; it is set for
+// keyed classes.
 type PlatformClass struct {
 	Name                                 string
 	LatencyTarget, Deadline, DedupWindow time.Duration
 	Keyed                                bool
-	Locations, Kinds                     []string // of engines that it may go to; none: all
+	Locations, Kinds                     []string // of the engines that its jobs may go to; empty: all
 }
 
-// Config is a configuration that was read and checked.
+// Config is the result of loading and checking a configuration.
 type Config struct {
-	Plan     *route.Plan // nil where there is an error
+	Plan     *route.Plan // nil if there is an error
 	Messages Messages
-	Fleet    *Fleet   // whom instances talk to; nil where none is set, or there is an error
-	Files    []string // in the order in which they were read
+	Fleet    *Fleet   // peers of the instances; nil if none are set or there is an error
+	Files    []string // resolved paths of all files, sorted
 	checker  *checker
 }
 
-// setting is a key with its value, read.
+// setting is a key with its parsed value. Which of the fields is set depends on the form of the key.
 type setting struct {
 	*entry
 	quantity  Quantity
 	patterns  []route.Pattern
 	names     []string
-	columns   []int // of each pattern or name
+	columns   []int // column of each pattern or name
 	match     *route.Match
-	definedIn *section // where it stands, which for what is inherited is another section
+	definedIn *section // section that contains the key; for an inherited setting it is another one
 }
 
-// canonical writes the value as the formatter does.
+// canonical returns the value as the formatter writes it.
 func (s *setting) canonical() string { return formatValue(s.node) }
 
-// Load reads a file with all that it includes and checks it. What is wrong is in the messages; the plan is nil where
-// any of them is an error. A platform, where given, is what types, locations, kinds and times are checked against.
+// Load reads a file with all its includes and checks it. Errors and warnings are returned as messages; the plan is nil if any of
+// them is an error. If platform is not nil, types, customers, fronts, locations, kinds and times are checked against it.
 func Load(path string, platform *Platform) *Config {
 	l := &loader{}
 	l.loadRoot(path)
 	return l.checkedConfig(platform)
 }
 
-// checked checks what was read.
+// checkedConfig checks the sections that were loaded and returns the result.
 func (l *loader) checkedConfig(platform *Platform) *Config {
 	c := &checker{loader: l, platform: platform, settings: map[*section]map[string]*setting{},
 		sectionsByName: map[string]map[string]*section{}, pools: map[string]*route.Pool{}, policies: map[string]*route.Policy{}}
@@ -78,6 +78,7 @@
 	return result
 }
 
+// checker validates the sections of a loader and builds the plan from them.
 type checker struct {
 	*loader
 	platform       *Platform
@@ -115,11 +116,11 @@
 	}
 	c.checkTeamShares()
 	c.buildFleet()
-	bySection := map[*route.Route]*section{}
+	sectionByRoute := map[*route.Route]*section{}
 	for _, s := range c.sections {
 		if s.kind == "route" {
 			r := c.buildRoute(s)
-			bySection[r] = s
+			sectionByRoute[r] = s
 			c.plan.Routes = append(c.plan.Routes, r)
 		}
 	}
@@ -127,7 +128,7 @@
 		c.plan.Pools = append(c.plan.Pools, c.pools[name])
 	}
 	if c.messages.Errors() > 0 {
-		return // warnings about what will change
+		return // the warnings below could become wrong once the errors are fixed
 	}
 	for _, s := range c.sections {
 		if (s.kind == "pool" || s.kind == "policy" || s.kind == "label") && !c.usedSections[s] {
@@ -135,7 +136,7 @@
 		}
 	}
 	for _, u := range c.plan.Unreached() {
-		s := bySection[u.Route]
+		s := sectionByRoute[u.Route]
 		line, column := s.line, s.nameColumn
 		if m := c.settings[s]["match"]; m != nil {
 			line, column = m.line, m.column
@@ -151,7 +152,7 @@
 			if index == 5 {
 				break
 			}
-			blocking := bySection[blocker]
+			blocking := sectionByRoute[blocker]
 			related = append(related, Related{blocking.line.file.path, blocking.line.number, fmt.Sprintf("route %q comes first", blocking.name)})
 		}
 		c.reportWarning(line, column, problem, "", related...)
@@ -160,10 +161,10 @@
 
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// mostName bounds names, which stand in logs and tables.
+// maxNameBytes limits the length of names because they are written to logs and tables.
 const maxNameBytes = 64
 
-// section checks a header and reads the values of its keys.
+// checkSection checks the header of a section and reads the values of its keys.
 func (c *checker) checkSection(s *section) {
 	settings := map[string]*setting{}
 	c.settings[s] = settings
@@ -205,7 +206,7 @@
 	}
 }
 
-// value reads what stands behind a key; nil where it is faulty.
+// readValue reads the value of a key. It reports an error and returns nil if the value is invalid.
 func (c *checker) readValue(e *entry, spec *keySpec) *setting {
 	result := &setting{entry: e}
 	if spec.form == matchForm {
@@ -224,7 +225,7 @@
 		result.match = match
 		return result
 	}
-	if e.node.Entry == nil { // match, which the grammar knows as a key of its own
+	if e.node.Entry == nil { // a match line: match is the only key with a grammar rule of its own
 		return nil
 	}
 	values := e.node.Entry.Values
@@ -277,6 +278,7 @@
 	return result
 }
 
+// word returns a value as text, without quotes. A number is returned as written.
 func (v *valueNode) word() string {
 	if v.Text != nil {
 		return v.Text.word()
@@ -284,7 +286,7 @@
 	return v.From.Text
 }
 
-// wanted says what a key takes.
+// expectedValue describes the values that a key accepts, for messages.
 func (c *checker) expectedValue(spec *keySpec) string {
 	switch spec.form {
 	case quantityForm:
@@ -308,7 +310,7 @@
 	return "the name of a " + spec.refKind
 }
 
-// figure reads a number and checks its kind and range.
+// readQuantity parses a number with its unit and checks its kind and range. It reports an error and returns false if any is wrong.
 func (c *checker) readQuantity(line *sourceLine, node *quantityNode, spec *keySpec) (Quantity, bool) {
 	quantity, err := parseQuantity(node.Text)
 	column := node.Pos.Column
@@ -333,7 +335,7 @@
 	return quantity, false
 }
 
-// references checks that names stand for something.
+// checkReferences reports names of sections that are not defined.
 func (c *checker) checkReferences(s *section) {
 	for _, spec := range schema[s.kind] {
 		value := c.settings[s][spec.name]
@@ -342,14 +344,16 @@
 		}
 		for index, name := range value.names {
 			if target := c.sectionsByName[spec.refKind][name]; target == nil {
-				c.reportError(value.line, value.columns[index], fmt.Sprintf("%s %q is not defined%s", spec.refKind, name, suggestion(name, sortedNames(c.sectionsByName[spec.refKind]))),
+				c.reportError(value.line, value.columns[index], fmt.Sprintf("%s %q is not defined%s", spec.refKind, name,
+					suggestion(name, sortedNames(c.sectionsByName[spec.refKind]))),
 					"the name of a "+spec.refKind+" of this configuration")
 			}
 		}
 	}
 }
 
-// cycle reports sections that lead back to themselves by a key, once for each cycle. It tells whether s is on one.
+// reportCycle reports whether s refers back to itself through the given key, directly or through other sections. The error is
+// reported once for each cycle, at the first of its sections.
 func (c *checker) reportCycle(s *section, key string) bool {
 	chain := []*section{s}
 	var walk func(current *section) bool
@@ -377,7 +381,7 @@
 	if !walk(s) {
 		return false
 	}
-	for _, other := range chain { // told at the one that comes first
+	for _, other := range chain { // reported at the first section of the cycle only
 		if slices.Index(c.sections, other) < slices.Index(c.sections, s) {
 			return true
 		}
@@ -393,10 +397,10 @@
 	return true
 }
 
-// mostAlternatives bounds what pools of pools with labels come to.
+// maxAlternatives limits the number of alternatives that a pool expands to: pools of pools and labels multiply.
 const maxAlternatives = 64
 
-// pool works a pool out.
+// buildPool builds a pool for the plan and checks its settings.
 func (c *checker) buildPool(s *section) {
 	if s.name == "" || c.sectionsByName["pool"][s.name] != s {
 		return
@@ -414,8 +418,8 @@
 			"fewer pools and labels in one pool")
 	}
 	pool.Any = alternatives
-	if len(settings["id"].patternList())+len(settings["location"].patternList())+len(settings["kind"].patternList()) == 0 && settings["label"] == nil &&
-		settings["pools"] == nil && !c.hasUnreadableKey(s, "id", "location", "kind", "label", "pools") {
+	if len(settings["id"].patternList())+len(settings["location"].patternList())+len(settings["kind"].patternList()) == 0 &&
+		settings["label"] == nil && settings["pools"] == nil && !c.hasUnreadableKey(s, "id", "location", "kind", "label", "pools") {
 		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q names no engines", s.name),
 			"at least one of id, location, kind, label, pools; id = * for all engines")
 	}
@@ -438,7 +442,7 @@
 		pool.Overflow = route.PoolName(overflow.names[0])
 		pool.OverflowAfter = defaultOverflowAfter
 		if overflow.names[0] == s.name {
-			return // told as a cycle
+			return // already reported as a cycle
 		}
 	}
 	if overflowAfter != nil {
@@ -450,13 +454,14 @@
 	c.pools[s.name] = pool
 }
 
-// places checks the locations and kinds that a pool or label names against the platform. A location may come later; a
-// kind has to be in the settings.
+// checkPlacement checks the locations and kinds of a pool or label against the platform. An unknown location is only a warning
+// because engines may be added there later; a kind must be in the settings.
 func (c *checker) checkPlacement(s *section) {
 	if c.platform == nil {
 		return
 	}
-	checkKey := func(key string, allowed []string, report func(line *sourceLine, column int, problem, expected string, related ...Related)) {
+	checkKey := func(key string, allowed []string,
+		report func(line *sourceLine, column int, problem, expected string, related ...Related)) {
 		value := c.settings[s][key]
 		for index, pattern := range value.patternList() {
 			if len(allowed) > 0 && !slices.ContainsFunc(allowed, pattern.Matches) {
@@ -469,10 +474,10 @@
 	checkKey("kind", c.platform.Kinds, c.reportError)
 }
 
-// defaultOverflowAfter is a fifth of a short latency target: a job that waits for longer is likely to miss it.
+// defaultOverflowAfter is one fifth of a short latency target: a job that waits longer is likely to miss the target.
 const defaultOverflowAfter = 100 * time.Millisecond
 
-// list are a setting's patterns; none where it is absent.
+// patternList returns the patterns of a setting, or nil if the setting is nil.
 func (s *setting) patternList() []route.Pattern {
 	if s == nil {
 		return nil
@@ -480,18 +485,21 @@
 	return s.patterns
 }
 
-// faulty tells that a section has one of some keys, though nothing could be read from it.
+// hasUnreadableKey reports whether the section may contain one of the keys with a value that could not be read. It avoids a
+// second message, that the key is missing.
 func (c *checker) hasUnreadableKey(s *section, keys ...string) bool {
 	return s.hasInvalidLine || slices.ContainsFunc(s.entries, func(e *entry) bool {
 		return slices.Contains(keys, e.key) && c.settings[s][e.key] == nil
 	})
 }
 
-// members multiplies a pool out: its own conditions, with one of its labels and one of its pools.
+// poolMembers expands a pool into its alternatives. Each combines the conditions of the pool itself with one of its labels and one
+// alternative of one of its pools. ok is false if there are more than maxAlternatives. Pools are followed down to maxDepth.
 func (c *checker) poolMembers(s *section, depth int) (alternatives [][]route.Members, ok bool) {
 	settings := c.settings[s]
 	alternatives = [][]route.Members{nil}
-	if members := (route.Members{IDs: settings["id"].patternList(), Locations: settings["location"].patternList(), Kinds: settings["kind"].patternList()}); len(members.IDs)+
+	if members := (route.Members{IDs: settings["id"].patternList(), Locations: settings["location"].patternList(),
+		Kinds: settings["kind"].patternList()}); len(members.IDs)+
 		len(members.Locations)+len(members.Kinds) > 0 {
 		alternatives = [][]route.Members{{members}}
 	}
@@ -522,6 +530,7 @@
 	return alternatives, len(alternatives) <= maxAlternatives
 }
 
+// product concatenates each element of a with each element of b.
 func product(a, b [][]route.Members) (out [][]route.Members) {
 	for _, x := range a {
 		for _, y := range b {
@@ -531,7 +540,7 @@
 	return out
 }
 
-// effective gives a policy's keys with those that it inherits.
+// effectiveSettings returns the settings of a policy and those that it inherits. The bound on the depth ends a cycle.
 func (c *checker) effectiveSettings(s *section) map[string]*setting {
 	effective := map[string]*setting{}
 	for depth := 0; s != nil && depth < len(c.sections)+1; depth++ {
@@ -549,7 +558,7 @@
 	return effective
 }
 
-// policy works a policy out, with what it inherits.
+// buildPolicy builds a policy with the settings that it inherits, and checks them.
 func (c *checker) buildPolicy(s *section) {
 	if s.name == "" || c.sectionsByName["policy"][s.name] != s || c.reportCycle(s, "use") {
 		return
@@ -595,15 +604,18 @@
 	if value := settings["no-pool"]; value != nil {
 		policy.EndWhenDown = value.names[0] == "end"
 	}
-	if furtherWait, repeatWindow := settings["further-wait"], settings["repeat-window"]; furtherWait != nil && repeatWindow != nil && furtherWait.quantity.Value >= repeatWindow.quantity.Value &&
+	if furtherWait, repeatWindow := settings["further-wait"], settings["repeat-window"]; furtherWait != nil && repeatWindow != nil &&
+		furtherWait.quantity.Value >= repeatWindow.quantity.Value &&
 		(furtherWait.definedIn == s || repeatWindow.definedIn == s) {
-		c.reportError(furtherWait.line, furtherWait.column, fmt.Sprintf("further-wait %s is not below repeat-window %s, so that nothing would ever go again",
-			furtherWait.quantity, repeatWindow.quantity), "a wait well below the window", Related{repeatWindow.line.file.path, repeatWindow.line.number, "the window"})
+		c.reportError(furtherWait.line, furtherWait.column,
+			fmt.Sprintf("further-wait %s is not below repeat-window %s, so that nothing would ever go again",
+				furtherWait.quantity, repeatWindow.quantity),
+			"a wait well below the window", Related{repeatWindow.line.file.path, repeatWindow.line.number, "the window"})
 	}
 	c.policies[s.name] = &policy
 }
 
-// teams checks that shares sum up to no more than all.
+// checkTeamShares reports the first team with which the sum of the shares exceeds 100%.
 func (c *checker) checkTeamShares() {
 	sum := int64(0)
 	for _, s := range c.sections {
@@ -616,7 +628,7 @@
 	}
 }
 
-// route works a route out.
+// buildRoute builds a route for the plan and marks the sections that it uses.
 func (c *checker) buildRoute(s *section) *route.Route {
 	settings := c.settings[s]
 	r := &route.Route{Name: route.RouteName(s.name), Policy: route.NewPolicy("")}
@@ -662,18 +674,20 @@
 	return r
 }
 
-// noPool warns of settings about pools in the policy of a route without one.
+// warnNoPool warns about the first pool-related setting in the policy of a route that has no pool.
 func (c *checker) warnNoPool(policyRef *setting, policy *section) {
 	settings := c.effectiveSettings(policy)
 	for _, key := range []string{"fallback-wait", "return-wait", "return-over", "no-pool"} {
 		if settings[key] != nil {
-			c.reportWarning(policyRef.line, policyRef.column, fmt.Sprintf("policy %q sets %s, which has no effect on a route without a pool", policy.name, key), "",
+			c.reportWarning(policyRef.line, policyRef.column,
+				fmt.Sprintf("policy %q sets %s, which has no effect on a route without a pool", policy.name, key), "",
 				Related{settings[key].line.file.path, settings[key].line.number, key})
 			return
 		}
 	}
 }
 
+// addPool appends a pool to the route and marks it as used. Undefined pools are skipped; checkReferences reports them.
 func (c *checker) addPool(s *section, r *route.Route, name string) {
 	if pool := c.sectionsByName["pool"][name]; pool != nil {
 		c.markPoolUsed(pool, 0)
@@ -683,6 +697,7 @@
 	}
 }
 
+// markPoolUsed marks a pool and the pools that it refers to as used.
 func (c *checker) markPoolUsed(pool *section, depth int) {
 	if c.usedSections[pool] || depth > maxDepth {
 		return
@@ -699,8 +714,8 @@
 	}
 }
 
-// against checks a route and what it uses against the platform: names that it does not have, and times that can't
-// hold for a class that the route takes.
+// checkAgainstPlatform checks a route for each class whose jobs it takes: some engine of its pools must be allowed for the class,
+// and its times must be within the deadline, the latency target and the dedup window of the class.
 func (c *checker) checkAgainstPlatform(s *section, r *route.Route) {
 	for _, class := range c.platform.Classes {
 		if !r.Takes(route.Type, class.Name) {
@@ -716,7 +731,8 @@
 			if key == "repeat-window" {
 				relation = "is beyond"
 			}
-			c.reportOnce(value, fmt.Sprintf("%s %s %s %s of type %q, %s", key, value.quantity, relation, limitName, class.Name, Quantity{duration, int64(limit)}),
+			c.reportOnce(value, fmt.Sprintf("%s %s %s %s of type %q, %s", key, value.quantity, relation, limitName, class.Name,
+				Quantity{duration, int64(limit)}),
 				"a shorter time; is the unit meant?", Related{s.line.file.path, s.line.number, fmt.Sprintf("route %q takes %q", s.name, class.Name)})
 		}
 		c.checkReachable(s, r, &class)
@@ -729,8 +745,8 @@
 	}
 }
 
-// reaches checks that a class can go to some engine of some pool of a route: its own placement holds as well,
-// and jobs with none in common would only wait until they are refused.
+// checkReachable reports an error if no pool of a route can have engines that are allowed for a class. The class's own placement
+// applies in addition to the route, so such jobs would only wait until they are refused.
 func (c *checker) checkReachable(s *section, r *route.Route, class *PlatformClass) {
 	compatible := func(patterns []route.Pattern, allowed []string) bool {
 		return len(patterns) == 0 || len(allowed) == 0 || slices.ContainsFunc(allowed, func(name string) bool {
@@ -745,12 +761,13 @@
 		})
 	})
 	if poolSetting := c.settings[s]["pool"]; poolSetting != nil && len(r.Pools) > 0 && !reachable && len(r.Pools[0].Any) > 0 {
-		c.reportError(poolSetting.line, poolSetting.columns[0], fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s", class.Name,
-			strings.Join(slices.Concat(class.Locations, class.Kinds), ", ")), "a pool with such engines, or a match that leaves the type out")
+		c.reportError(poolSetting.line, poolSetting.columns[0], fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s",
+			class.Name, strings.Join(slices.Concat(class.Locations, class.Kinds), ", ")), "a pool with such engines, or a match that leaves the type out")
 	}
 }
 
-// once says a thing about a setting only once, however many routes come to it.
+// reportOnce reports an error about a setting only once, even if several routes use it. A message on the same line with the same
+// expected text counts as the same error.
 func (c *checker) reportOnce(value *setting, problem, expected string, related ...Related) {
 	for _, m := range c.messages {
 		if m.File == value.line.file.path && m.Line == value.line.number && m.Expected == expected {
@@ -760,7 +777,7 @@
 	c.reportError(value.line, value.column, problem, expected, related...)
 }
 
-// settingOf finds a key in the policy of a route, or in its pools.
+// findSetting looks up a key in the policy of a route or, for overflow-after, in its pools. It returns nil if the key is not set.
 func (c *checker) findSetting(s *section, key string) *setting {
 	settings := c.settings[s]
 	if key == "overflow-after" {
--- a/config/lang/diff.go
+++ b/config/lang/diff.go
@@ -9,7 +9,7 @@
 	"yarrowbarrow/decide/route"
 )
 
-// Change is one thing that a later version means differently.
+// Change is one difference in meaning between two versions of a configuration.
 type Change struct {
 	Type string `json:"how"` // added, gone, changed, moved or jobs
 	Kind string `json:"kind"`
@@ -17,11 +17,11 @@
 	Key  string `json:"key,omitempty"`
 	Old  string `json:"was,omitempty"`
 	New  string `json:"now,omitempty"`
-	File string `json:"file,omitempty"` // of the later version, or the earlier one for what is gone
+	File string `json:"file,omitempty"` // in the later version; for a section that is gone, in the earlier one
 	Line int    `json:"line,omitempty"`
-	// Doubt is set where a figure changed so much that its unit is worth a second look.
+	// Caution is set if a quantity changed so much that its unit may be wrong.
 	Caution string `json:"doubt,omitempty"`
-	// Example is a job that goes elsewhere, with How jobs.
+	// Example is a job that is routed differently; it is set for the type jobs.
 	Example string `json:"example,omitempty"`
 }
 
@@ -55,12 +55,12 @@
 	return text
 }
 
-// doubtful is the factor from which on a changed figure is pointed out: a unit mistaken for its neighbour is off by 60
-// or more, most by 1000; a change that is meant is rarely a hundredfold.
+// suspectFactor is the factor of change of a quantity from which a caution is added. Confusing a unit with the next one is off by
+// a factor of at least 60, mostly 1000; an intended change by a factor of 100 is rare.
 const suspectFactor = 100
 
-// Diff tells what a later version means differently, after includes and inheritance. Both must be free of errors.
-// complete is false where the question which jobs go elsewhere was too large to be followed to its end.
+// Diff returns the differences in meaning between two versions, after includes and inheritance. Both must be free of errors.
+// complete is false if the search for jobs that are routed differently was too large to be finished.
 func Diff(before, after *Config) (changes []Change, complete bool) {
 	for _, kind := range sectionKinds {
 		oldSections, newSections := before.checker.sectionsByName[kind], after.checker.sectionsByName[kind]
@@ -90,6 +90,7 @@
 	return changes, complete
 }
 
+// routeName returns the name of a route, or an empty string for nil.
 func routeName(r *route.Route) string {
 	if r == nil {
 		return ""
@@ -97,7 +98,7 @@
 	return string(r.Name)
 }
 
-// Describe writes a job in the terms of a match.
+// Describe returns a job as the terms of a match, separated by commas. Fields that the job does not state are left out.
 func Describe(job *route.Job) string {
 	parts := []string{"type = " + quoteIfNeeded(job.Type)}
 	if job.Customer != "" {
@@ -118,7 +119,7 @@
 	return strings.Join(append(parts, "left = "+Quantity{duration, int64(job.Left)}.String()), ", ")
 }
 
-// keys are a section's settings with those that it inherits.
+// sectionSettings returns the settings of a section, and for a policy also those that it inherits.
 func (c *Config) sectionSettings(s *section) map[string]*setting {
 	if s.kind == "policy" {
 		return c.checker.effectiveSettings(s)
@@ -126,6 +127,7 @@
 	return c.checker.settings[s]
 }
 
+// diffKeys compares the settings of two versions of a section; s is the later one.
 func diffKeys(before, after map[string]*setting, s *section) (changes []Change) {
 	for _, spec := range schema[s.kind] {
 		oldValue, newValue := before[spec.name], after[spec.name]
@@ -147,9 +149,11 @@
 			change.Type = "gone"
 		default:
 			change.Type = "changed"
-			if oldQuantity, newQuantity := oldValue.quantity, newValue.quantity; (spec.form == quantityForm || spec.form == countOrShareForm) && oldQuantity.Kind == newQuantity.Kind &&
+			if oldQuantity, newQuantity := oldValue.quantity, newValue.quantity; (spec.form == quantityForm ||
+				spec.form == countOrShareForm) && oldQuantity.Kind == newQuantity.Kind &&
 				oldQuantity.Value > 0 && newQuantity.Value > 0 {
-				if factor := float64(max(oldQuantity.Value, newQuantity.Value)) / float64(min(oldQuantity.Value, newQuantity.Value)); factor >= suspectFactor {
+				if factor := float64(max(oldQuantity.Value, newQuantity.Value)) /
+					float64(min(oldQuantity.Value, newQuantity.Value)); factor >= suspectFactor {
 					change.Caution = fmt.Sprintf("a change by a factor of %.0f: is the unit meant?", factor)
 				}
 			}
@@ -159,6 +163,7 @@
 	return changes
 }
 
+// sameSet reports whether two lists contain the same patterns in any order.
 func sameSet(a, b []route.Pattern) bool {
 	a, b = slices.Clone(a), slices.Clone(b)
 	slices.Sort(a)
@@ -166,8 +171,8 @@
 	return slices.Equal(a, b)
 }
 
-// moved tells of routes that stand elsewhere among those that both versions have, where that matters: where a route
-// that they passed takes some of the same jobs.
+// movedRoutes returns the routes whose order changed among those that both versions have, if the change matters: if a route
+// that they moved past matches some of the same jobs.
 func movedRoutes(before, after *Config) (changes []Change) {
 	oldIndex := map[route.RouteName]int{}
 	for n, r := range before.Plan.Routes {
@@ -202,8 +207,8 @@
 	return changes
 }
 
-// ParseJob reads a job written as Describe writes it: terms with = and commas. What is not said is untold; the time
-// left is then a minute.
+// ParseJob parses a job as Describe writes it: terms with =, separated by commas. Fields that are not given are empty or
+// route.Untold; the time left defaults to one minute.
 func ParseJob(text string) (route.Job, error) {
 	job := route.Job{Tables: route.Untold, Cost: route.Untold, Memory: route.Untold, Left: time.Minute}
 	for _, part := range strings.Split(text, ",") {
--- a/config/lang/fleet.go
+++ b/config/lang/fleet.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Fleet is whom an instance talks to. Zero values stand for what was not set.
+// Fleet configures how instances find and contact each other. A zero value means that a setting is absent.
 type Fleet struct {
 	Name    string
-	Port    uint16   // at the address on which clients are served, UDP and TCP
-	Told    string   // the address that others are told, where it is another
-	Seeds   []string // addresses with ports
+	Port    uint16   // UDP and TCP port, at the address that serves clients
+	Told    string   // address advertised to other instances, if it differs
+	Seeds   []string // addresses with ports of some instances
 	KeyFile string
 	Period  time.Duration
 	Members int
-	Traffic int    // bytes a second, each way
-	Status  string // path of a local socket that tells what is known
+	Traffic int    // bytes per second in each direction
+	Status  string // path of a local socket that serves the known state
 }
 
-// What is taken where nothing is said. A probe a second finds a loss within some seconds; 64 KB a second each way is some
-// four times what a fleet of 300 needs.
+// Defaults. One probe per second detects a failure within a few seconds; 64 KB per second in each direction is about four times
+// what a fleet of 300 instances needs.
 const (
 	defaultPort    = 7946
 	defaultPeriod  = time.Second
@@ -30,7 +30,7 @@
 	defaultTraffic = 64_000
 )
 
-// fleets reads the one section that says whom instances talk to.
+// buildFleet builds the fleet from its section, of which there may be at most one.
 func (c *checker) buildFleet() {
 	var first *section
 	for _, s := range c.sections {
@@ -61,7 +61,8 @@
 		}
 		if value := settings["advertise"]; value != nil {
 			if address, err := netip.ParseAddrPort(value.names[0]); err != nil || address.Port() == 0 {
-				c.reportError(value.line, value.columns[0], fmt.Sprintf("advertise: %q is no address", value.names[0]), `an address such as "10.0.0.4:7946"`)
+				c.reportError(value.line, value.columns[0], fmt.Sprintf("advertise: %q is no address", value.names[0]),
+					`an address such as "10.0.0.4:7946"`)
 			}
 			fleet.Told = value.names[0]
 		}
@@ -71,10 +72,12 @@
 	}
 }
 
+// readKeyFileSetting reads the path of the key file, which is required and must be absolute.
 func (c *checker) readKeyFileSetting(s *section, fleet *Fleet) {
 	switch value := c.settings[s]["key-file"]; {
 	case value != nil && !filepath.IsAbs(value.names[0]):
-		c.reportError(value.line, value.columns[0], fmt.Sprintf("key-file: %q is no whole path", value.names[0]), `a path such as "/etc/yarrowbarrow/fleet.key"`)
+		c.reportError(value.line, value.columns[0], fmt.Sprintf("key-file: %q is no whole path", value.names[0]),
+			`a path such as "/etc/yarrowbarrow/fleet.key"`)
 	case value != nil:
 		fleet.KeyFile = value.names[0]
 	case !c.hasUnreadableKey(s, "key-file"):
@@ -82,6 +85,7 @@
 	}
 }
 
+// readSeeds reads the addresses of the seeds, which are required. The port defaults to that of the fleet.
 func (c *checker) readSeeds(s *section, fleet *Fleet) {
 	value := c.settings[s]["seeds"]
 	if value == nil {
@@ -96,8 +100,8 @@
 			address, err = netip.AddrPortFrom(host, fleet.Port), nil
 		}
 		if err != nil || address.Port() == 0 {
-			c.reportError(value.line, value.columns[index], fmt.Sprintf("seeds: %q is no address", name), `addresses such as "10.0.0.4" or "10.0.0.4:`+
-				strconv.Itoa(int(fleet.Port))+`"`)
+			c.reportError(value.line, value.columns[index], fmt.Sprintf("seeds: %q is no address", name),
+				`addresses such as "10.0.0.4" or "10.0.0.4:`+strconv.Itoa(int(fleet.Port))+`"`)
 			continue
 		}
 		fleet.Seeds = append(fleet.Seeds, address.String())
--- a/config/lang/format.go
+++ b/config/lang/format.go
@@ -6,9 +6,9 @@
 	"unicode/utf8"
 )
 
-// Format writes a file in its canonical form: one blank line between sections, keys aligned within one, figures in
-// their canonical units, texts in quotes only where they need them. Comments and the order of everything stay. A file
-// that can't be parsed is an error, with all that is wrong in it.
+// Format returns the canonical form of a file: one blank line between sections, keys aligned within a section, quantities in
+// their canonical units, and texts in quotes only if they need them. Comments and the order of lines are preserved. For a file
+// that can't be parsed, the error contains the messages of all invalid lines, up to maxMessages.
 func Format(path string, raw []byte) ([]byte, error) {
 	var messages Messages
 	f := parseFile(path, raw, func(m Message) { messages = append(messages, m) })
@@ -20,9 +20,9 @@
 		return nil, errors.Join(errs...)
 	}
 	var out strings.Builder
-	afterBlank := true // nothing before, so that no blank line is wanted
+	afterBlank := true // the output is empty or ends with a blank line, so none is inserted
 	for start := 0; start < len(f.lines); {
-		// Entries that belong together are aligned: up to the next section, or a blank line.
+		// Lines up to the next section or blank line form a block, whose keys are aligned.
 		end := start
 		width := 0
 		for end < len(f.lines) && (end == start || f.lines[end].node == nil || f.lines[end].node.Section == nil) &&
@@ -34,7 +34,8 @@
 		}
 		for index := start; index < end; index++ {
 			line := &f.lines[index]
-			if !afterBlank && (line.node != nil && line.node.Section != nil || isSectionComment(f, index)) && !(index > 0 && isSectionComment(f, index-1)) {
+			if !afterBlank && (line.node != nil && line.node.Section != nil || isSectionComment(f, index)) &&
+				!(index > 0 && isSectionComment(f, index-1)) {
 				out.WriteByte('\n')
 			}
 			out.WriteString(formatLine(line, width))
@@ -55,7 +56,8 @@
 	return []byte(out.String()), nil
 }
 
-// leads tells that a line is one of the comments right above a section, which stay with it.
+// isSectionComment reports whether a line is one of the comments directly above a section header, or the header itself. These
+// comments are kept together with the header.
 func isSectionComment(file *sourceFile, index int) bool {
 	for ; index < len(file.lines); index++ {
 		line := &file.lines[index]
@@ -69,6 +71,7 @@
 	return false
 }
 
+// lineKey returns the key of a line, or an empty string for lines without one.
 func lineKey(line *sourceLine) string {
 	switch {
 	case line.node == nil:
@@ -81,6 +84,7 @@
 	return ""
 }
 
+// formatLine returns the canonical form of a line. Keys are padded to width characters.
 func formatLine(line *sourceLine, width int) string {
 	code := ""
 	switch node := line.node; {
@@ -107,7 +111,7 @@
 
 func quote(word string) string { return `"` + strings.ReplaceAll(word, `"`, `\"`) + `"` }
 
-// formatValue writes what stands behind a key.
+// formatValue returns the canonical form of the value of a key.
 func formatValue(node *lineNode) string {
 	if node.Match != nil {
 		return formatOr(node.Match.Expr, false)
@@ -129,7 +133,7 @@
 	return v.From.format()
 }
 
-// format writes a figure in its canonical unit; one that means nothing stays as it is, for the checker to say so.
+// format returns a quantity in its canonical unit. An invalid one is returned unchanged; the checker reports it.
 func (f *quantityNode) format() string {
 	if figure, err := parseQuantity(f.Text); err == nil {
 		return figure.String()
@@ -137,7 +141,7 @@
 	return f.Text
 }
 
-// bare leaves the quotes off a word that is read the same without them.
+// quoteIfNeeded returns a text without quotes if the lexer reads it as the same single word, and in quotes otherwise.
 func quoteIfNeeded(word string) string {
 	tokens := &scanner{text: word}
 	token, err := tokens.Next()
@@ -150,6 +154,7 @@
 	return word
 }
 
+// formatOr returns the canonical form of an expression, in parentheses if it is part of another one.
 func formatOr(node *orNode, parenthesized bool) string {
 	var alternatives []string
 	for _, and := range node.Operands {
@@ -194,7 +199,7 @@
 	return node.Field + " " + not + "in (" + strings.Join(parts, ", ") + ")"
 }
 
-// FormatFile reads a file and gives what it holds and what it should.
+// FormatFile reads a file and returns its content and its canonical form.
 func FormatFile(path string) (original, formatted []byte, err error) {
 	l := &loader{}
 	if original, err = l.readBounded(path); err != nil {
--- a/config/lang/grammar.go
+++ b/config/lang/grammar.go
@@ -10,40 +10,45 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar of one line; docs/operate/configuration.md has it as EBNF. A file is read line by line, so that what is
-// wrong in one line hides nothing in the others.
+// The types below are the grammar of one line; docs/operate/configuration.md has it as EBNF. A file is parsed line by line, so
+// that an error in one line does not hide errors in the others.
 
-// lineNode is one of the three kinds of lines with code.
+// lineNode is a line with code. Exactly one of its fields is set.
 type lineNode struct {
 	Section *sectionNode
 	Match   *matchNode
 	Entry   *entryNode
 }
 
+// sectionNode is a section header, such as [pool "a"].
 type sectionNode struct {
 	Pos  lexer.Position
 	Kind string    `parser:"'[' @Word"`
 	Name *textNode `parser:"@@? ']'"`
 }
 
+// matchNode is the match line of a route.
 type matchNode struct {
 	Pos  lexer.Position
 	Key  string  `parser:"@'match' '='"`
 	Expr *orNode `parser:"@@"`
 }
 
+// entryNode is a key with its values, which are separated by commas.
 type entryNode struct {
 	Pos    lexer.Position
 	Key    string       `parser:"@Word '='"`
 	Values []*valueNode `parser:"@@ ( ',' @@ )*"`
 }
 
+// textNode is a text with or without quotes. Quoted includes the quotes.
 type textNode struct {
 	Pos    lexer.Position
 	Quoted string `parser:"( @String"`
 	Bare   string `parser:"| @Word )"`
 }
 
+// valueNode is a text, or a number, or a range of numbers. A single number is in From.
 type valueNode struct {
 	Pos  lexer.Position
 	Text *textNode     `parser:"( @@"`
@@ -51,11 +56,13 @@
 	To   *quantityNode `parser:"( '..' @@ )? )"`
 }
 
+// quantityNode is a number with its unit, as written.
 type quantityNode struct {
 	Pos  lexer.Position
 	Text string `parser:"@Figure"`
 }
 
+// orNode is an expression of a match; and binds tighter than or.
 type orNode struct {
 	Operands []*andNode `parser:"@@ ( 'or' @@ )*"`
 }
@@ -64,12 +71,14 @@
 	Operands []*notNode `parser:"@@ ( 'and' @@ )*"`
 }
 
+// notNode is a negation, an expression in parentheses or a term.
 type notNode struct {
 	Not   *notNode  `parser:"( 'not' @@"`
 	Group *orNode   `parser:"| '(' @@ ')'"`
 	Term  *termNode `parser:"| @@ )"`
 }
 
+// termNode is all, a comparison with one value, or a test whether a field is in a list of values.
 type termNode struct {
 	Pos    lexer.Position
 	All    bool         `parser:"( @'all'"`
@@ -80,8 +89,8 @@
 	Values []*valueNode `parser:"'in' '(' @@ ( ',' @@ )* ')' ) )"`
 }
 
-// The parsers are built on first use, as a controller without an operators' file needs none of them. There is one for
-// each kind of line, as how a line begins tells its kind.
+// The parsers are built on first use, because a controller without an operators' file needs none of them. Each kind of line has
+// a parser of its own, because the beginning of a line determines its kind.
 var (
 	sectionParser = sync.OnceValue(buildParser[sectionNode])
 	matchParser   = sync.OnceValue(buildParser[matchNode])
@@ -92,13 +101,13 @@
 	return participle.MustBuild[N](participle.Lexer(lineLexer{}), participle.UseLookahead(2))
 }
 
-// beginsMatch tells a line whose key is match.
+// isMatchLine reports whether the key of a line is match.
 func isMatchLine(code string) bool {
 	rest, hasKey := strings.CutPrefix(strings.TrimLeft(code, " \t"), "match")
 	return hasKey && strings.HasPrefix(strings.TrimLeft(rest, " \t"), "=")
 }
 
-// parseLine reads the code of one line. An error names a column from 1.
+// parseLine parses the code of one line. An error has a column, counted from 1, but no file and line.
 func parseLine(code string) (*lineNode, *Message) {
 	if column := excessNestingColumn(code); column > 0 {
 		return nil, &Message{Column: column, Problem: "parentheses and nots go too deep",
@@ -139,7 +148,7 @@
 	return nil, &Message{Column: 1, Problem: err.Error(), Expected: expectedSyntax(code)}
 }
 
-// shown is a text of the file in a message, in quotes once.
+// quoteOnce puts a token in quotes for a message, unless it is a string with quotes already.
 func quoteOnce(text string) string {
 	if strings.HasPrefix(text, `"`) {
 		return text
@@ -147,13 +156,14 @@
 	return `"` + text + `"`
 }
 
-// behindFigure tells that only spaces are between a place and a number before it.
+// followsNumber reports whether the text before a byte offset ends with a digit, apart from spaces.
 func followsNumber(code string, offset int) bool {
 	before := strings.TrimRight(code[:min(offset, len(code))], " \t")
 	return before != "" && before[len(before)-1] >= '0' && before[len(before)-1] <= '9'
 }
 
-// tooDeep guards the stack against lines that are nothing but parentheses.
+// excessNestingColumn returns the column at which a line exceeds the limits on nesting, or 0. It protects the stack of the
+// recursive parser. Parentheses count by depth, up to maxNesting; all nots of a line count together, up to 4*maxNesting.
 func excessNestingColumn(code string) (column int) {
 	depth, nots := 0, 0
 	for index, currentColumn := 0, 0; index < len(code); index++ {
@@ -177,7 +187,7 @@
 	return 0
 }
 
-// wantedOf says what a line that begins so should look like.
+// expectedSyntax describes the syntax of the kind of line that code begins like.
 func expectedSyntax(code string) string {
 	code = strings.TrimSpace(code)
 	key, _, hasEquals := strings.Cut(code, "=")
--- a/config/lang/lexer.go
+++ b/config/lang/lexer.go
@@ -10,16 +10,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The kinds of tokens of a line.
+// The types of tokens in a line.
 const (
-	wordToken        lexer.TokenType = iota + 1 // a bare word, which may hold wildcards
-	stringToken                                 // in quotes, as it stands in the file
-	quantityToken                               // a number with what hangs on it: 12ms, 50/s, 20%, 2core-s
+	wordToken        lexer.TokenType = iota + 1 // a word without quotes, which may contain wildcards
+	stringToken                                 // a text in quotes, as written in the file
+	quantityToken                               // a number with its unit: 12ms, 50/s, 20%, 2core-s
 	punctuationToken                            // = != < <= > >= ( ) [ ] , ..
 	keywordToken                                // and or not in
 )
 
-// words is the lexer of one line, without its comment.
+// lineLexer splits one line without its comment into tokens.
 type lineLexer struct{}
 
 func (lineLexer) Symbols() map[string]lexer.TokenType {
@@ -39,10 +39,11 @@
 	return &scanner{text: text}, nil
 }
 
+// scanner scans one line.
 type scanner struct {
 	text   string
 	offset int
-	column int // characters before at
+	column int // number of characters before offset
 }
 
 func isWordStart(r rune) bool {
@@ -53,7 +54,7 @@
 	return isWordStart(r) || r == '-' || r == '.' || r >= '0' && r <= '9'
 }
 
-// badText is an error of the lexer, at a column from 0.
+// syntaxError is an error of the lexer. The column is counted from 0.
 type syntaxError struct {
 	column       int
 	what, wanted string
@@ -61,7 +62,7 @@
 
 func (b *syntaxError) Error() string { return b.what }
 
-// Next gives the next token; its column counts characters from 1.
+// Next returns the next token. Its column is counted in characters, from 1.
 func (s *scanner) Next() (lexer.Token, error) {
 	for s.offset < len(s.text) && (s.text[s.offset] == ' ' || s.text[s.offset] == '\t') {
 		s.offset, s.column = s.offset+1, s.column+1
@@ -130,8 +131,8 @@
 		"a word, a text in quotes, or a number with its unit"}
 }
 
-// cutComment splits a line into its code and its comment, which begins with # or ; at the start or after a space,
-// outside of quotes.
+// cutComment splits a line into its code and its comment. A comment begins with # or ; outside of quotes, at the start of the
+// line or after a space or tab.
 func cutComment(line string) (code, comment string) {
 	quoted := false
 	for index := 0; index < len(line); index++ {
--- a/config/lang/load.go
+++ b/config/lang/load.go
@@ -1,8 +1,9 @@
-// Package lang reads the operators' language: routes, pools, policies and teams in INI form, with includes and units.
+// Package lang implements the operators' configuration language: routes, pools, policies, teams and fleets in INI form, with
+// includes and units.
 //
-// Load reads a file with all that it includes, checks it as a whole and gives the plan that package route obeys, or
-// messages that name file, line and column. Format writes one file in its canonical form, and Diff tells what two
-// versions mean differently. The language is described in docs/operate/configuration.md.
+// Load reads a file with all its includes, checks the whole and returns the plan that package route executes, or messages with
+// file, line and column. Format writes one file in its canonical form, and Diff lists the differences in meaning between two
+// versions. The language is described in docs/operate/configuration.md.
 package lang
 
 import (
@@ -20,60 +21,60 @@
 	"unicode/utf8"
 )
 
-// What a configuration may come to. Each is some ten times what the largest installation in sight needs, and small
-// enough that a wrong file does no harm to the controller that reads it.
+// Limits on the size of a configuration. Each is about ten times what the largest expected installation needs, and small enough
+// that a malformed file does no harm to the controller that reads it.
 const (
 	maxFiles      = 1000
-	maxDepth      = 16
+	maxDepth      = 16       // of nested includes, and of pools within pools
 	maxTotalBytes = 16 << 20 // of all files together
 	maxLineBytes  = 16 << 10
 	maxSections   = 50_000
 	maxMessages   = 200
-	maxNesting    = 50 // of parentheses and nots
+	maxNesting    = 50 // depth of parentheses; see excessNestingColumn for nots
 )
 
-// line is one line of a file.
+// sourceLine is one line of a file.
 type sourceLine struct {
 	file    *sourceFile
 	number  int
-	text    string // without its end
+	text    string // without the line ending
 	code    string
 	comment string
-	node    *lineNode // nil for lines without code, and faulty ones
+	node    *lineNode // nil for lines without code and for invalid lines
 	invalid bool
 }
 
-// file is one file as it was read.
+// sourceFile is a file that was read and split into lines.
 type sourceFile struct {
-	path  string // as it is named in messages
+	path  string // as given in messages
 	lines []sourceLine
 }
 
-// loader reads a file and those that it includes.
+// loader reads a file and its includes, and collects their sections.
 type loader struct {
-	rootDir      string                 // the directory that nothing may be included from outside of, resolved
-	parsedFiles  map[string]*sourceFile // by resolved path; nil while it is being read
-	includeChain []includeStep          // the includes that led here
+	rootDir      string                 // resolved directory of the first file; included files must be inside it
+	parsedFiles  map[string]*sourceFile // by resolved path; the value is nil while the file is being read
+	includeChain []includeStep          // files from the first one to the one being read
 	fileCount    int
 	totalBytes   int64
 	sections     []*section
 	messages     Messages
 }
 
-// step is an include on the way to a file.
+// includeStep is a file in the chain of includes. line is the number of the include statement being processed in it.
 type includeStep struct {
 	path, resolvedPath string
 	line               int
 }
 
-// section is one section of the whole configuration.
+// section is one section of the configuration.
 type section struct {
 	kind, name     string
 	line           *sourceLine
 	column         int
 	nameColumn     int
 	entries        []*entry
-	hasInvalidLine bool // a line of it could not be read
+	hasInvalidLine bool // at least one of its lines could not be parsed
 }
 
 // entry is one key of a section.
@@ -84,15 +85,19 @@
 	node   *lineNode
 }
 
+// reportError adds an error at a line and column.
 func (l *loader) reportError(line *sourceLine, column int, problem, expected string, related ...Related) {
-	l.addMessage(Message{File: line.file.path, Line: line.number, Column: column, Problem: problem, Expected: expected, Related: related, source: line.text})
+	l.addMessage(Message{File: line.file.path, Line: line.number, Column: column, Problem: problem, Expected: expected,
+		Related: related, source: line.text})
 }
 
+// reportWarning adds a warning at a line and column.
 func (l *loader) reportWarning(line *sourceLine, column int, problem, expected string, related ...Related) {
 	l.addMessage(Message{File: line.file.path, Line: line.number, Column: column, Warning: true, Problem: problem, Expected: expected,
 		Related: related, source: line.text})
 }
 
+// addMessage adds a message. After maxMessages it adds a final one, that the rest is not shown, and drops all others.
 func (l *loader) addMessage(m Message) {
 	if len(l.messages) < maxMessages {
 		l.messages = append(l.messages, m)
@@ -101,18 +106,19 @@
 	}
 }
 
-// load reads the first file.
+// loadRoot reads the first file, whose directory bounds the includes.
 func (l *loader) loadRoot(path string) {
 	resolved, err := resolve(path)
 	if err != nil {
-		l.addMessage(Message{File: path, Line: 1, Column: 1, Problem: "can't be read: " + reason(err), Expected: "the path of a configuration file"})
+		l.addMessage(Message{File: path, Line: 1, Column: 1, Problem: "can't be read: " + reason(err),
+			Expected: "the path of a configuration file"})
 		return
 	}
 	l.rootDir, l.parsedFiles = filepath.Dir(resolved), map[string]*sourceFile{}
 	l.loadFile(path, resolved, nil, 1)
 }
 
-// resolve gives the one path by which a file is known, whatever links lead to it.
+// resolve returns the absolute path of a file without symbolic links, so that a file has one path whatever links point to it.
 func resolve(path string) (string, error) {
 	resolved, err := filepath.EvalSymlinks(path)
 	if err != nil {
@@ -121,7 +127,7 @@
 	return filepath.Abs(resolved)
 }
 
-// reason leaves out the path, which a message names by itself.
+// reason returns the text of an error without the path, which the messages already contain.
 func reason(err error) string {
 	var pathErr *fs.PathError
 	if errors.As(err, &pathErr) {
@@ -130,7 +136,7 @@
 	return err.Error()
 }
 
-// readFile reads a regular file up to the bound of all bytes.
+// readBounded reads a regular file. It fails if all files together exceed maxTotalBytes.
 func (l *loader) readBounded(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	switch {
@@ -148,7 +154,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	// It may grow while it is read.
+	// The file may grow while it is being read.
 	raw, err := io.ReadAll(io.LimitReader(f, maxTotalBytes-l.totalBytes+1))
 	l.totalBytes += int64(len(raw))
 	if err == nil && l.totalBytes > maxTotalBytes {
@@ -157,7 +163,7 @@
 	return raw, err
 }
 
-// read takes in one file, at the place of the include that named it.
+// loadFile reads one file and collects its sections. include is the line that includes it, or nil for the first file.
 func (l *loader) loadFile(path, resolved string, include *sourceLine, column int) {
 	report := func(problem, expected string) {
 		if include != nil {
@@ -188,7 +194,7 @@
 	l.parsedFiles[resolved] = f
 }
 
-// parseFile splits a file into lines and reads each.
+// parseFile splits a file into lines and parses each. Invalid lines are passed to report and marked.
 func parseFile(path string, raw []byte, report func(Message)) *sourceFile {
 	f := &sourceFile{path: path}
 	raw = bytes.TrimPrefix(raw, []byte("\ufeff"))
@@ -231,17 +237,19 @@
 	errs := parseLines(f.lines)
 	for index := range f.lines {
 		if line := &f.lines[index]; errs[index] != nil {
-			report(Message{File: path, Line: line.number, Column: errs[index].Column, Problem: errs[index].Problem, Expected: errs[index].Expected, source: line.text})
+			report(Message{File: path, Line: line.number, Column: errs[index].Column, Problem: errs[index].Problem,
+				Expected: errs[index].Expected, source: line.text})
 			line.code, line.comment, line.invalid = "", "", true
 		}
 	}
 	return f
 }
 
-// together is how many lines make it worth to start one more goroutine: some milliseconds of work.
+// linesPerGoroutine is the number of lines that justify one more goroutine: a few milliseconds of work.
 const linesPerGoroutine = 100
 
-// parseLines reads the code of lines on all cores, as reading is most of the work of a check.
+// parseLines parses the code of the lines on all cores, because parsing is most of the work of a check. errs has the error of each
+// line, or nil.
 func parseLines(lines []sourceLine) (errs []*Message) {
 	errs = make([]*Message, len(lines))
 	workers := min(runtime.GOMAXPROCS(0), len(lines)/linesPerGoroutine+1)
@@ -259,10 +267,10 @@
 	return errs
 }
 
-// collect takes the sections of a file, and follows its includes.
+// collect adds the sections of a file and processes its includes.
 func (l *loader) collect(f *sourceFile) {
 	var current *section
-	afterInvalidHeader := false // what follows a faulty header belongs nowhere
+	afterInvalidHeader := false // keys after an invalid header belong to no section and are not reported
 	for index := range f.lines {
 		line := &f.lines[index]
 		switch node := line.node; {
@@ -293,6 +301,7 @@
 	}
 }
 
+// addSection adds a section. Each section above maxSections is reported as an error and dropped.
 func (l *loader) addSection(line *sourceLine, node *sectionNode) *section {
 	s := &section{kind: node.Kind, line: line, column: node.Pos.Column, nameColumn: node.Pos.Column}
 	if node.Name != nil {
@@ -307,7 +316,7 @@
 	return s
 }
 
-// word is a text without its quotes.
+// word returns a text without its quotes. Within quotes, \" stands for a quote.
 func (t *textNode) word() string {
 	if t.Quoted == "" {
 		return t.Bare
@@ -315,7 +324,7 @@
 	return strings.ReplaceAll(t.Quoted[1:len(t.Quoted)-1], `\"`, `"`)
 }
 
-// include follows an include, relative to the file that it stands in, or all that its pattern finds, by name.
+// processInclude includes the listed files. Paths are relative to the including file; a pattern includes all matches, sorted by name.
 func (l *loader) processInclude(line *sourceLine, node *entryNode) {
 	for _, value := range node.Values {
 		if value.Text == nil {
@@ -345,6 +354,7 @@
 	}
 }
 
+// includeFile includes one file unless it was read before. It rejects files outside of rootDir, and cycles.
 func (l *loader) includeFile(line *sourceLine, column int, path string) {
 	resolved, err := resolve(path)
 	if err != nil {
@@ -358,7 +368,7 @@
 	}
 	l.includeChain[len(l.includeChain)-1].line = line.number
 	if f, seen := l.parsedFiles[resolved]; seen && f != nil {
-		return // each file once
+		return // each file is read once
 	} else if seen {
 		var related []Related
 		first := slices.IndexFunc(l.includeChain, func(s includeStep) bool { return s.resolvedPath == resolved })
--- a/config/lang/match.go
+++ b/config/lang/match.go
@@ -9,13 +9,14 @@
 	"yarrowbarrow/decide/route"
 )
 
+// termInfo describes a field of jobs that a match can test.
 type termInfo struct {
 	name  string
 	field route.Field
-	kind  unitKind // of figures
+	kind  unitKind // of quantities; unused for text fields
 }
 
-// terms are what a match may look at.
+// terms lists the fields that a match can test.
 var terms = []termInfo{
 	{"type", route.Type, 0}, {"customer", route.Customer, 0}, {"front", route.Front, 0},
 	{"tables", route.Tables, count}, {"cost", route.Cost, work}, {"memory", route.Memory, size},
@@ -29,7 +30,7 @@
 	return names
 }
 
-// match makes a match of an expression.
+// buildMatch builds a match from an expression. Errors are reported; the result is then not usable.
 func (c *checker) buildMatch(line *sourceLine, node *orNode) *route.Match {
 	var alternatives []*route.Match
 	for _, and := range node.Operands {
@@ -42,6 +43,7 @@
 	return combine(route.Or, alternatives)
 }
 
+// combine joins matches with an operator; a single match is returned as it is.
 func combine(op route.Op, operands []*route.Match) *route.Match {
 	if len(operands) == 1 {
 		return operands[0]
@@ -78,6 +80,7 @@
 	return &route.Match{}
 }
 
+// buildTextTerm builds the match of a term over a text field.
 func (c *checker) buildTextTerm(line *sourceLine, node *termNode, match *route.Match) *route.Match {
 	values := node.Values
 	if node.Value != nil {
@@ -102,7 +105,7 @@
 	return match
 }
 
-// known checks that a text that a term names is one that the platform has.
+// checkKnownText reports a pattern that matches no type, customer or front of the platform. An empty list allows all.
 func (c *checker) checkKnownText(line *sourceLine, column int, field route.Field, pattern route.Pattern) {
 	if c.platform == nil {
 		return
@@ -125,9 +128,12 @@
 	if len(shown) > 8 {
 		shown = append(slices.Clone(shown[:8]), "…")
 	}
-	c.reportError(line, column, fmt.Sprintf("the platform has no %s %q%s", field, pattern, suggestion(string(pattern), known)), "one of "+strings.Join(shown, ", "))
+	c.reportError(line, column, fmt.Sprintf("the platform has no %s %q%s", field, pattern, suggestion(string(pattern), known)),
+		"one of "+strings.Join(shown, ", "))
 }
 
+// buildQuantityTerm builds the match of a term over a numeric field, as ranges of values. A != leaves out jobs that do not state
+// the field.
 func (c *checker) buildQuantityTerm(line *sourceLine, node *termNode, match *route.Match, kind unitKind) *route.Match {
 	spec := &keySpec{name: node.Field, form: quantityForm, kind: kind, max: math.MaxInt64}
 	read := func(number *quantityNode) (int64, bool) {
@@ -190,7 +196,7 @@
 		match.Ranges = append(match.Ranges, route.Range{From: from, To: to})
 	}
 	if node.NotIn {
-		// A comparison, which does not hold for what is not told.
+		// Like any comparison, not in does not hold for a job that does not state the field.
 		return &route.Match{Op: route.And, Of: []*route.Match{
 			{Op: route.In, Field: match.Field, Ranges: []route.Range{{From: 0, To: math.MaxInt64}}, Source: node.Field + " is told"},
 			{Op: route.Not, Of: []*route.Match{match}}}}
--- a/config/lang/message.go
+++ b/config/lang/message.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Message says what is wrong, and where.
+// Message is an error or a warning about a place in a file.
 type Message struct {
 	File     string    `json:"file"`
 	Line     int       `json:"line"` // from 1
@@ -19,10 +19,10 @@
 	Problem  string    `json:"what"`
 	Expected string    `json:"wanted,omitempty"`
 	Related  []Related `json:"related,omitempty"`
-	source   string    // the line
+	source   string    // text of the line
 }
 
-// Related is another place that a message speaks of.
+// Related is another place that a message refers to.
 type Related struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
@@ -44,10 +44,10 @@
 	return "error"
 }
 
-// Messages are what a check found, by place.
+// Messages are the findings of a check, sorted by place.
 type Messages []Message
 
-// Errors tells how many of them are errors.
+// Errors returns the number of errors, without warnings.
 func (ms Messages) Errors() (n int) {
 	for _, m := range ms {
 		if !m.Warning {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// Err is the first error with the number of further ones, or nil.
+// Err returns the first error with the number of further ones, or nil if there is none.
 func (ms Messages) Err() error {
 	errorCount := ms.Errors()
 	if errorCount == 0 {
@@ -76,10 +76,10 @@
 	})
 }
 
-// mostShown bounds the part of a line that is shown under a message.
+// maxShownChars limits the part of a line that is shown below a message.
 const maxShownChars = 160
 
-// Print writes each message with its line, and a caret under the place.
+// Print writes each message with its line and a caret below the column.
 func (ms Messages) Print(w io.Writer) error {
 	var out strings.Builder
 	for _, m := range ms {
@@ -101,7 +101,7 @@
 	return err
 }
 
-// JSON writes the messages as one array.
+// JSON writes the messages as one JSON array.
 func (ms Messages) JSON(w io.Writer) error {
 	out := make([]Message, len(ms))
 	for index, m := range ms {
@@ -113,7 +113,8 @@
 	return encoder.Encode(out)
 }
 
-// near gives the word of a list that was probably meant, or an empty one: the closest within a third of its length.
+// closestWord returns the candidate that was probably meant, or an empty string: the one with the smallest edit distance, of at
+// most about a third of the length of word.
 func closestWord(word string, candidates []string) string {
 	best, bestDistance := "", max(len(word)/3+1, min(len(word)-1, 2))
 	for _, candidate := range candidates {
@@ -124,7 +125,8 @@
 	return best
 }
 
-// distance is the number of characters to add, drop, change or swap with a neighbour, or most if it is no less.
+// editDistance returns the number of characters to insert, delete, replace or swap with a neighbour to get from a to b
+// (the Damerau-Levenshtein distance, each part edited once), or limit if it is not below that.
 func editDistance(a, b string, limit int) int {
 	from, to := []rune(a), []rune(b)
 	if len(from)-len(to) >= limit || len(to)-len(from) >= limit || len(from) > 200 || len(to) > 200 {
@@ -151,6 +153,7 @@
 	return min(previous[len(to)], limit)
 }
 
+// suggestion returns the end of a message that proposes the closest candidate, or an empty string if none is close.
 func suggestion(word string, candidates []string) string {
 	if closest := closestWord(word, candidates); closest != "" {
 		return fmt.Sprintf("; did you mean %q?", closest)
--- a/config/lang/schema.go
+++ b/config/lang/schema.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// form is what stands behind a key.
+// valueForm is the form of the value of a key.
 type valueForm int
 
 const (
-	quantityForm     valueForm = iota // one figure of a kind
-	countOrShareForm                  // a count, or a share
-	patternsForm                      // texts with wildcards
-	nameForm                          // one name
-	namesForm                         // names in order
-	wordForm                          // one of some words
+	quantityForm     valueForm = iota // one quantity of a kind
+	countOrShareForm                  // a count or a share
+	patternsForm                      // a list of texts with wildcards
+	nameForm                          // the name of one section
+	namesForm                         // an ordered list of names of sections
+	wordForm                          // one of the words of the key
 	textForm                          // one text
-	textsForm                         // texts
+	textsForm                         // a list of texts
 	matchForm
 )
 
-// key is what the checker knows of one.
+// keySpec specifies the values that a key accepts.
 type keySpec struct {
 	name    string
 	form    valueForm
 	kind    unitKind
-	min     int64 // allowed figures; a duration in ns
+	min     int64 // range of quantities, in the units of Quantity.Value
 	max     int64
 	words   []string
-	refKind string // the kind of section that a name is of
+	refKind string // kind of the sections that a name refers to
 }
 
 const (
@@ -37,8 +37,8 @@
 	minute      = int64(time.Minute)
 )
 
-// schema lists the keys of each kind of section, in the order in which they are named. The bounds of durations are
-// wide, but less than a thousandfold wherever that can be, so that 12s for 12ms is seen.
+// schema lists the keys of each kind of section, in the order in which messages list them. The ranges of durations are wide, but
+// span less than a factor of 1000 where possible, so that 12s instead of 12ms is rejected.
 var schema = map[string][]keySpec{
 	"pool": {
 		{name: "id", form: patternsForm}, {name: "location", form: patternsForm}, {name: "kind", form: patternsForm},
@@ -84,9 +84,10 @@
 	},
 }
 
-// kinds in the order in which they are named.
+// sectionKinds are listed in the order in which messages list them.
 var sectionKinds = []string{"pool", "label", "route", "policy", "team", "fleet"}
 
+// findKey returns the specification of a key, or nil if sections of this kind have no such key.
 func findKey(kind, name string) *keySpec {
 	for index := range schema[kind] {
 		if schema[kind][index].name == name {
--- a/config/lang/units.go
+++ b/config/lang/units.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// unitKind is what a value measures. Values of different kinds never stand for one another.
+// unitKind is the dimension of a value. Values of different kinds are never converted into one another.
 type unitKind int
 
 const (
@@ -25,19 +25,20 @@
 	return [...]string{"a count", "a duration", "a size", "a rate", "a share", "an amount of work"}[k]
 }
 
-// form shows how a value of a kind is written.
+// example describes how a value of a kind is written.
 func (k unitKind) example() string {
 	return [...]string{"a whole number such as 20", "a duration such as 250ms, 2s or 1m", "a size such as 64MB",
 		"a rate such as 50/s or 30/m", "a share such as 25%", "core time such as 250core-ms or 2core-s"}[k]
 }
 
+// unit is a unit of measurement.
 type unit struct {
 	name  string
 	kind  unitKind
-	scale int64 // of the least unit: ns, bytes, jobs a second divided by (see rate), 1
+	scale int64 // number of smallest units (see Quantity) in it; for a rate, the seconds in its period
 }
 
-// units are listed from large to small within a kind, which is the order in which a canonical one is looked for.
+// units are sorted from large to small within a kind. The canonical unit of a value is the first that leaves a whole number.
 var units = []unit{
 	{"h", duration, int64(time.Hour)}, {"m", duration, int64(time.Minute)}, {"s", duration, int64(time.Second)},
 	{"ms", duration, int64(time.Millisecond)}, {"us", duration, int64(time.Microsecond)}, {"ns", duration, 1},
@@ -49,16 +50,16 @@
 	{"", count, 1},
 }
 
-// Figure is a value with its unit. Value counts the least unit of its kind: nanoseconds, bytes, core nanoseconds,
-// jobs an hour, millionths of a percent, ones.
+// Quantity is a value with its kind. Value is in the smallest unit of the kind: nanoseconds, bytes, core nanoseconds, jobs per
+// hour, millionths of a percent, or ones.
 type Quantity struct {
 	Kind  unitKind
 	Value int64
 }
 
-const unitsPerPercent = 1_000_000 // of a percent
+const unitsPerPercent = 1_000_000 // units of Quantity.Value in one percent
 
-// parseFigure reads a number with its unit; the error says what is wrong.
+// parseQuantity parses a number with its unit. The error describes what is wrong with the text, and has no position.
 func parseQuantity(text string) (Quantity, error) {
 	unitStart := strings.IndexFunc(text, func(r rune) bool { return (r < '0' || r > '9') && r != '.' })
 	if unitStart < 0 {
@@ -109,12 +110,13 @@
 	return Quantity{found.kind, value}, nil
 }
 
-// otherNames are what units are called elsewhere.
+// unitAliases maps names of units in other software to ours, in lower case, for suggestions in messages.
 var unitAliases = map[string]string{"sec": "s", "secs": "s", "second": "s", "seconds": "s", "msec": "ms", "millis": "ms",
 	"usec": "us", "min": "m", "mins": "m", "minutes": "m", "hour": "h", "hours": "h", "rps": "/s", "/sec": "/s",
 	"/min": "/m", "/hour": "/h", "percent": "%", "core": "core-s", "cores": "core-s", "cpu-s": "core-s",
 	"cpu-ms": "core-ms", "k": "KB", "mib": "MB", "gib": "GB", "kib": "KB"}
 
+// findUnit returns the unit with this name, or nil.
 func findUnit(name string) *unit {
 	for index := range units {
 		if units[index].name == name {
@@ -124,7 +126,8 @@
 	return nil
 }
 
-// exact multiplies a decimal number by a unit: -1 where it is too large, false where something is left over.
+// multiplyExact multiplies a decimal number by a scale. It returns -1 if the product exceeds an int64, and false if it is not a
+// whole number.
 func multiplyExact(number string, scale int64) (int64, bool) {
 	if n, err := strconv.ParseInt(number, 10, 64); err == nil {
 		if n > math.MaxInt64/scale {
@@ -146,13 +149,13 @@
 	return product.Num().Int64(), true
 }
 
-// compound reads durations of several parts, such as 1m30s.
+// parseCompoundDuration parses durations with several parts, such as 1m30s. It returns false for other texts and if negative.
 func parseCompoundDuration(text string) (Quantity, bool) {
 	parsed, err := time.ParseDuration(text)
 	return Quantity{duration, int64(parsed)}, err == nil && parsed >= 0
 }
 
-// String writes a figure in its canonical form, in the largest unit that leaves a whole number.
+// String returns a quantity in its canonical form: in the largest unit that leaves a whole number, for rates the shortest period.
 func (q Quantity) String() string {
 	switch q.Kind {
 	case count:
@@ -181,8 +184,8 @@
 	return ""
 }
 
-// perSecond gives a rate.
+// perSecond returns a rate in jobs per second.
 func (q Quantity) perSecond() float64 { return float64(q.Value) / 3600 }
 
-// part gives a share from 0 to 1.
+// fraction returns a share as a number from 0 to 1.
 func (q Quantity) fraction() float64 { return float64(q.Value) / (100 * unitsPerPercent) }
--- a/config/platform.go
+++ b/config/platform.go
@@ -11,7 +11,7 @@
 	"yarrowbarrow/logic"
 )
 
-// Platform is what an operators' file can be checked against.
+// Platform returns the settings that an operators' file can be checked against.
 func (c *Config) Platform() lang.Platform {
 	settings := &c.Settings.Logic
 	platform := lang.Platform{Fronts: []string{"framed"}}
@@ -46,9 +46,9 @@
 	return platform
 }
 
-// Engines are those that are known at the start, in the order of the list.
+// Engines returns the engines that are known and up at startup, in the order of the list.
 func (c *Config) Engines() []route.Engine {
-	indexByID := map[route.EngineID]int{} // the place of each that is up
+	indexByID := map[route.EngineID]int{} // position in engines of each engine that is up
 	var engines []route.Engine
 	_, _, _ = listing.Read(json.RawMessage(c.Known), 0, func(isSnapshot bool) {
 		if isSnapshot {
