--- a/config/config.go
+++ b/config/config.go
@@ -166,11 +166,13 @@
 	}
 }
 
+// isAddress reports whether s is an IP address with a port other than 0.
 func isAddress(s string) bool {
 	address, err := netip.ParseAddrPort(s)
 	return err == nil && address.Port() != 0
 }
 
+// checkValue returns nil if the value of key is valid, and an error that names the allowed values otherwise.
 func checkValue(valid bool, key string, value any, allowed string) error {
 	if valid {
 		return nil
@@ -178,6 +180,7 @@
 	return invalidValue(key, value, allowed)
 }
 
+// invalidValue returns the error for a value that is not allowed. Durations are shown in nanoseconds, as in the file.
 func invalidValue(key string, value any, allowed string) error {
 	if duration, isDuration := value.(time.Duration); isDuration {
 		value = int64(duration)
--- a/config/lang/bench_test.go
+++ b/config/lang/bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// writeLarge writes 10,000 routes over 500 pools in 50 files, and 20 policies.
+// writeLarge writes a configuration of 10,000 routes, 500 pools and 20 policies in 50 files, and returns the path of the first.
 func writeLarge(tb testing.TB, dir string) string {
 	var main strings.Builder
 	main.WriteString("include = \"rooms/*.conf\"\n")
@@ -20,17 +20,17 @@
 	if err := os.MkdirAll(filepath.Join(dir, "rooms"), 0o700); err != nil {
 		tb.Fatal(err)
 	}
-	for f := range 49 {
-		var b strings.Builder
-		for p := f * 500 / 49; p < (f+1)*500/49; p++ {
-			fmt.Fprintf(&b, "# Pool %d of room %d.\n[pool \"pool-%d\"]\nlocation = room-%d\nid       = s-%03x*\nminimum  = 50%%\n\n", p, f, p, f, p)
+	for room := range 49 {
+		var text strings.Builder
+		for pool := room * 500 / 49; pool < (room+1)*500/49; pool++ {
+			fmt.Fprintf(&text, "# Pool %d of room %d.\n[pool \"pool-%d\"]\nlocation = room-%d\nid       = s-%03x*\nminimum  = 50%%\n\n", pool, room, pool, room, pool)
 		}
-		for r := f * 10_000 / 49; r < (f+1)*10_000/49; r++ {
-			fmt.Fprintf(&b, "[route \"route-%d\"]\nmatch    = type in (lookup, load) and customer = org-%d and (cost < %dcore-ms or tables in (%d..%d))\n",
-				r, r, 100+r%900, r%100, r%100+20)
-			fmt.Fprintf(&b, "pool     = pool-%d\nfallback = pool-%d\npolicy   = p%d\n\n", r%500, (r+7)%500, r%20)
+		for number := room * 10_000 / 49; number < (room+1)*10_000/49; number++ {
+			fmt.Fprintf(&text, "[route \"route-%d\"]\nmatch    = type in (lookup, load) and customer = org-%d and (cost < %dcore-ms or tables in (%d..%d))\n",
+				number, number, 100+number%900, number%100, number%100+20)
+			fmt.Fprintf(&text, "pool     = pool-%d\nfallback = pool-%d\npolicy   = p%d\n\n", number%500, (number+7)%500, number%20)
 		}
-		if err := os.WriteFile(filepath.Join(dir, "rooms", fmt.Sprintf("room-%02d.conf", f)), []byte(b.String()), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, "rooms", fmt.Sprintf("room-%02d.conf", room)), []byte(text.String()), 0o600); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -43,28 +43,29 @@
 
 func BenchmarkCheck(b *testing.B) {
 	dir := b.TempDir()
-	if keep := os.Getenv("LARGE_CONF"); keep != "" { // to measure the command with
-		dir = keep
+	if keptDir := os.Getenv("LARGE_CONF"); keptDir != "" { // keeps the files, to measure the command with them
+		dir = keptDir
 	}
 	path := writeLarge(b, dir)
 	for b.Loop() {
-		if c := Load(path, nil); len(c.Messages) > 0 || len(c.Plan.Routes) != 10_000 {
-			b.Fatal(c.Messages)
+		if loaded := Load(path, nil); len(loaded.Messages) > 0 || len(loaded.Plan.Routes) != 10_000 {
+			b.Fatal(loaded.Messages)
 		}
 	}
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	b.ReportMetric(float64(m.Sys>>20), "MB-from-system")
+	var memStats runtime.MemStats
+	runtime.ReadMemStats(&memStats)
+	b.ReportMetric(float64(memStats.Sys>>20), "MB-from-system")
 }
 
-// TestLargeInTime: the bound is wide, as it is for slow machines under the race detector; results.md has the figure.
+// TestLargeInTime: 10,000 routes must load within a minute. The limit is generous because it also applies to slow machines with the
+// race detector; results.md has the measured time.
 func TestLargeInTime(t *testing.T) {
 	path := writeLarge(t, t.TempDir())
-	from := time.Now()
-	if c := Load(path, nil); len(c.Messages) > 0 || len(c.Plan.Routes) != 10_000 || len(c.Files) != 50 {
-		t.Error(c.Messages)
+	started := time.Now()
+	if loaded := Load(path, nil); len(loaded.Messages) > 0 || len(loaded.Plan.Routes) != 10_000 || len(loaded.Files) != 50 {
+		t.Error(loaded.Messages)
 	}
-	if took := time.Since(from); took > time.Minute {
-		t.Error("took ", took)
+	if elapsed := time.Since(started); elapsed > time.Minute {
+		t.Error("took ", elapsed)
 	}
 }
--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -165,41 +165,43 @@
 const maxNameBytes = 64
 
 // checkSection checks the header of a section and reads the values of its keys.
-func (c *checker) checkSection(s *section) {
+func (c *checker) checkSection(section *section) {
 	settings := map[string]*setting{}
-	c.settings[s] = settings
-	sameKind, known := c.sectionsByName[s.kind]
+	c.settings[section] = settings
+	sameKind, known := c.sectionsByName[section.kind]
 	switch {
 	case !known:
-		c.reportError(s.line, s.column, fmt.Sprintf("section [%s] is not known%s", s.kind, suggestion(s.kind, sectionKinds)),
+		c.reportError(section.line, section.column, fmt.Sprintf("section [%s] is not known%s", section.kind, suggestion(section.kind, sectionKinds)),
 			"one of "+strings.Join(sectionKinds, ", "))
 		return
-	case s.name == "":
-		c.reportError(s.line, s.nameColumn, fmt.Sprintf("a %s without a name", s.kind), fmt.Sprintf("[%s \"name\"]", s.kind))
-	case len(s.name) > maxNameBytes || strings.ContainsFunc(s.name, func(r rune) bool {
+	case section.name == "":
+		c.reportError(section.line, section.nameColumn, fmt.Sprintf("a %s without a name", section.kind), fmt.Sprintf("[%s \"name\"]", section.kind))
+	case len(section.name) > maxNameBytes || strings.ContainsFunc(section.name, func(r rune) bool {
 		return !unicode.IsLetter(r) && !unicode.IsDigit(r) && !strings.ContainsRune("-_. /", r)
 	}):
-		c.reportError(s.line, s.nameColumn, fmt.Sprintf("%q is no name", s.name),
+		c.reportError(section.line, section.nameColumn, fmt.Sprintf("%q is no name", section.name),
 			fmt.Sprintf("letters, digits, spaces and -_./, at most %d", maxNameBytes))
-	case sameKind[s.name] != nil:
-		first := sameKind[s.name]
-		c.reportError(s.line, s.nameColumn, fmt.Sprintf("%s %q is there twice", s.kind, s.name), "each name once",
+	case sameKind[section.name] != nil:
+		first := sameKind[section.name]
+		c.reportError(section.line, section.nameColumn, fmt.Sprintf("%s %q is there twice", section.kind, section.name), "each name once",
 			Related{first.line.file.path, first.line.number, "the first one"})
 	default:
-		sameKind[s.name] = s
+		sameKind[section.name] = section
 	}
-	for _, e := range s.entries {
-		spec := findKey(s.kind, e.key)
+	for _, e := range section.entries {
+		spec := findKey(section.kind, e.key)
 		switch first := settings[e.key]; {
 		case spec == nil:
-			c.reportError(e.line, e.column, fmt.Sprintf("key %q is not known in a %s%s", e.key, s.kind, suggestion(e.key, keyNames(s.kind))),
-				"one of "+strings.Join(keyNames(s.kind), ", "))
+			c.reportError(e.line, e.column, fmt.Sprintf("key %q is not known in a %s%s", e.key, section.kind,
+				suggestion(e.key, keyNames(section.kind))),
+				"one of "+strings.Join(keyNames(section.kind), ", "))
 		case first != nil:
-			c.reportError(e.line, e.column, fmt.Sprintf("key %q is there twice in %s %q", e.key, s.kind, s.name), "each key once",
+			c.reportError(e.line, e.column, fmt.Sprintf("key %q is there twice in %s %q", e.key, section.kind, section.name),
+				"each key once",
 				Related{first.line.file.path, first.line.number, "the first one"})
 		default:
 			if value := c.readValue(e, spec); value != nil {
-				value.definedIn = s
+				value.definedIn = section
 				settings[e.key] = value
 			}
 		}
@@ -219,7 +221,8 @@
 			return nil
 		}
 		if match.TooWide() {
-			c.reportError(e.line, e.column, "the match comes to more than 256 combinations", "a simpler one, or several routes")
+			c.reportError(e.line, e.column, "the match comes to more than 256 combinations",
+				"a simpler one, or several routes")
 			return nil
 		}
 		result.match = match
@@ -414,7 +417,7 @@
 	pool := &route.Pool{Name: route.PoolName(s.name)}
 	alternatives, ok := c.poolMembers(s, 0)
 	if !ok {
-		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q comes to more than %d alternatives", s.name, maxAlternatives),
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q expands to more than %d alternatives", s.name, maxAlternatives),
 			"fewer pools and labels in one pool")
 	}
 	pool.Any = alternatives
@@ -761,8 +764,10 @@
 		})
 	})
 	if poolSetting := c.settings[s]["pool"]; poolSetting != nil && len(r.Pools) > 0 && !reachable && len(r.Pools[0].Any) > 0 {
-		c.reportError(poolSetting.line, poolSetting.columns[0], fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s",
-			class.Name, strings.Join(slices.Concat(class.Locations, class.Kinds), ", ")), "a pool with such engines, or a match that leaves the type out")
+		c.reportError(poolSetting.line, poolSetting.columns[0],
+			fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s",
+				class.Name, strings.Join(slices.Concat(class.Locations, class.Kinds), ", ")),
+			"a pool with such engines, or a match that leaves the type out")
 	}
 }
 
--- a/config/lang/diff.go
+++ b/config/lang/diff.go
@@ -175,8 +175,8 @@
 // that they moved past matches some of the same jobs.
 func movedRoutes(before, after *Config) (changes []Change) {
 	oldIndex := map[route.RouteName]int{}
-	for n, r := range before.Plan.Routes {
-		oldIndex[r.Name] = n
+	for index, r := range before.Plan.Routes {
+		oldIndex[r.Name] = index
 	}
 	var common []*route.Route
 	for _, r := range after.Plan.Routes {
@@ -185,22 +185,23 @@
 		}
 	}
 	inOrder := route.Rising(common, func(r *route.Route) int { return oldIndex[r.Name] })
-	for n, r := range common {
-		if inOrder[n] {
+	for index, r := range common {
+		if inOrder[index] {
 			continue
 		}
-		for m, other := range common {
-			if m == n || !inOrder[m] || (m < n) == (oldIndex[other.Name] < oldIndex[r.Name]) || !r.Overlaps(other) {
+		for otherIndex, other := range common {
+			if otherIndex == index || !inOrder[otherIndex] || (otherIndex < index) == (oldIndex[other.Name] < oldIndex[r.Name]) || !r.Overlaps(other) {
 				continue
 			}
 			s := after.checker.sectionsByName["route"][string(r.Name)]
 			order := [...]string{"before", "behind"}
 			newPosition, oldPosition := order[0], order[1]
-			if m < n {
+			if otherIndex < index {
 				newPosition, oldPosition = oldPosition, newPosition
 			}
 			changes = append(changes, Change{Type: "moved", Kind: "route", Name: string(r.Name),
-				New: fmt.Sprintf("%s route %q", newPosition, other.Name), Old: oldPosition + " it", File: s.line.file.path, Line: s.line.number})
+				New: fmt.Sprintf("%s route %q", newPosition, other.Name), Old: oldPosition + " it",
+				File: s.line.file.path, Line: s.line.number})
 			break
 		}
 	}
--- a/config/lang/format.go
+++ b/config/lang/format.go
@@ -11,7 +11,7 @@
 // that can't be parsed, the error contains the messages of all invalid lines, up to maxMessages.
 func Format(path string, raw []byte) ([]byte, error) {
 	var messages Messages
-	f := parseFile(path, raw, func(m Message) { messages = append(messages, m) })
+	file := parseFile(path, raw, func(m Message) { messages = append(messages, m) })
 	if len(messages) > 0 {
 		var errs []error
 		for _, m := range messages[:min(len(messages), maxMessages)] {
@@ -21,32 +21,32 @@
 	}
 	var out strings.Builder
 	afterBlank := true // the output is empty or ends with a blank line, so none is inserted
-	for start := 0; start < len(f.lines); {
+	for start := 0; start < len(file.lines); {
 		// Lines up to the next section or blank line form a block, whose keys are aligned.
 		end := start
 		width := 0
-		for end < len(f.lines) && (end == start || f.lines[end].node == nil || f.lines[end].node.Section == nil) &&
-			strings.TrimSpace(f.lines[end].text) != "" {
-			if key := lineKey(&f.lines[end]); key != "" {
+		for end < len(file.lines) && (end == start || file.lines[end].node == nil || file.lines[end].node.Section == nil) &&
+			strings.TrimSpace(file.lines[end].text) != "" {
+			if key := lineKey(&file.lines[end]); key != "" {
 				width = max(width, utf8.RuneCountInString(key))
 			}
 			end++
 		}
 		for index := start; index < end; index++ {
-			line := &f.lines[index]
-			if !afterBlank && (line.node != nil && line.node.Section != nil || isSectionComment(f, index)) &&
-				!(index > 0 && isSectionComment(f, index-1)) {
+			line := &file.lines[index]
+			if !afterBlank && (line.node != nil && line.node.Section != nil || isSectionComment(file, index)) &&
+				!(index > 0 && isSectionComment(file, index-1)) {
 				out.WriteByte('\n')
 			}
 			out.WriteString(formatLine(line, width))
 			out.WriteByte('\n')
 			afterBlank = false
 		}
-		if end < len(f.lines) && strings.TrimSpace(f.lines[end].text) == "" {
-			for end < len(f.lines) && strings.TrimSpace(f.lines[end].text) == "" {
+		if end < len(file.lines) && strings.TrimSpace(file.lines[end].text) == "" {
+			for end < len(file.lines) && strings.TrimSpace(file.lines[end].text) == "" {
 				end++
 			}
-			if !afterBlank && end < len(f.lines) {
+			if !afterBlank && end < len(file.lines) {
 				out.WriteByte('\n')
 				afterBlank = true
 			}
@@ -134,11 +134,11 @@
 }
 
 // format returns a quantity in its canonical unit. An invalid one is returned unchanged; the checker reports it.
-func (f *quantityNode) format() string {
-	if figure, err := parseQuantity(f.Text); err == nil {
-		return figure.String()
+func (q *quantityNode) format() string {
+	if quantity, err := parseQuantity(q.Text); err == nil {
+		return quantity.String()
 	}
-	return f.Text
+	return q.Text
 }
 
 // quoteIfNeeded returns a text without quotes if the lexer reads it as the same single word, and in quotes otherwise.
--- a/config/lang/fuzz_test.go
+++ b/config/lang/fuzz_test.go
@@ -15,20 +15,21 @@
 	"yarrowbarrow/decide/route"
 )
 
-// loadText checks a text as a file of its own, without the file system.
+// loadText loads and checks a text as a single file, without the file system.
 func loadText(text string) *Config {
-	l := &loader{parsedFiles: map[string]*sourceFile{}}
-	f := parseFile("x.conf", []byte(text), l.addMessage)
-	for n := range f.lines { // an include would ask the file system
-		if node := f.lines[n].node; node != nil && node.Entry != nil && node.Entry.Key == "include" {
-			f.lines[n].node = nil
+	loader := &loader{parsedFiles: map[string]*sourceFile{}}
+	file := parseFile("x.conf", []byte(text), loader.addMessage)
+	for index := range file.lines { // an include would access the file system
+		if node := file.lines[index].node; node != nil && node.Entry != nil && node.Entry.Key == "include" {
+			file.lines[index].node = nil
 		}
 	}
-	l.collect(f)
-	return l.checkedConfig(testPlatform)
+	loader.collect(file)
+	return loader.checkedConfig(testPlatform)
 }
 
-func seeds(f *testing.F) {
+// addSeeds adds the broken files and the example configuration to the corpus.
+func addSeeds(f *testing.F) {
 	archives, _ := filepath.Glob("testdata/broken/*.txtar")
 	for _, path := range archives {
 		if a, err := txtar.ParseFile(path); err == nil {
@@ -42,35 +43,36 @@
 	f.Add(string(example))
 }
 
-// FuzzLoad: no text makes the parser or the checker panic, take long or say more than its bound.
+// FuzzLoad: no text may make the parser or the checker panic, run for more than 10 s or exceed the limit on messages.
 func FuzzLoad(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		if len(text) > 64<<10 {
 			return
 		}
-		from := time.Now()
-		c := loadText(text)
-		if len(c.Messages) > maxMessages+1 || (c.Plan == nil) != (c.Messages.Errors() > 0) {
-			t.Error(len(c.Messages), c.Plan)
+		started := time.Now()
+		loaded := loadText(text)
+		if len(loaded.Messages) > maxMessages+1 || (loaded.Plan == nil) != (loaded.Messages.Errors() > 0) {
+			t.Error(len(loaded.Messages), loaded.Plan)
 		}
-		if took := time.Since(from); took > 10*time.Second {
-			t.Error("took ", took)
+		if elapsed := time.Since(started); elapsed > 10*time.Second {
+			t.Error("loading took ", elapsed)
 		}
 	})
 }
 
-// comments of a text, without the spaces round them.
-func comments(text []byte) (all []string) {
-	for _, at := range parseFile("x.conf", text, func(Message) {}).lines {
-		if c := strings.TrimSpace(at.comment); c != "" {
-			all = append(all, c)
+// comments returns the comments of a text without surrounding spaces.
+func comments(text []byte) (found []string) {
+	for _, line := range parseFile("x.conf", text, func(Message) {}).lines {
+		if comment := strings.TrimSpace(line.comment); comment != "" {
+			found = append(found, comment)
 		}
 	}
-	return all
+	return found
 }
 
-// checkFormat: what was formatted means the same, keeps its comments, and stays as it is when formatted again.
+// checkFormat fails if formatting changes the meaning or the comments of a text, or if formatting the result again changes it.
+// Texts that can't be parsed are skipped.
 func checkFormat(t interface{ Fatalf(string, ...any) }, text string) {
 	once, err := Format("x.conf", []byte(text))
 	if err != nil {
@@ -78,25 +80,26 @@
 	}
 	twice, err := Format("x.conf", once)
 	if err != nil || !bytes.Equal(once, twice) {
-		t.Fatalf("formatted again:\n%s\nwas:\n%s\n%v", twice, once, err)
+		t.Fatalf("formatting the result again gives:\n%s\nfirst result:\n%s\nerror: %v", twice, once, err)
 	}
-	if a, b := comments([]byte(text)), comments(once); !slices.Equal(a, b) {
-		t.Fatalf("comments %q, were %q", b, a)
+	if commentsBefore, commentsAfter := comments([]byte(text)), comments(once); !slices.Equal(commentsBefore, commentsAfter) {
+		t.Fatalf("comments after formatting: %q, before: %q", commentsAfter, commentsBefore)
 	}
-	was, now := loadText(text), loadText(string(once))
-	if (was.Plan == nil) != (now.Plan == nil) || len(was.Messages) != len(now.Messages) {
-		t.Fatalf("%v\n%s\nafter formatting: %v\n%s", was.Messages, text, now.Messages, once)
+	before, after := loadText(text), loadText(string(once))
+	if (before.Plan == nil) != (after.Plan == nil) || len(before.Messages) != len(after.Messages) {
+		t.Fatalf("%v\n%s\nafter formatting: %v\n%s", before.Messages, text, after.Messages, once)
 	}
-	if was.Plan == nil {
+	if before.Plan == nil {
 		return
 	}
-	if changes, _ := Diff(was, now); len(changes) > 0 {
-		t.Fatalf("another meaning: %v\n%s\nwas:\n%s", changes, once, text)
+	if changes, _ := Diff(before, after); len(changes) > 0 {
+		t.Fatalf("formatting changed the meaning: %v\n%s\noriginal:\n%s", changes, once, text)
 	}
 }
 
+// FuzzFormat checks formatting with arbitrary texts.
 func FuzzFormat(f *testing.F) {
-	seeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		if len(text) <= 16<<10 {
 			checkFormat(t, text)
@@ -104,15 +107,15 @@
 	})
 }
 
-// someFile draws a file that is mostly right, in a careless form.
-func someFile(t *rapid.T) string {
+// randomFile draws a valid file that is not in canonical form: with odd spacing, comments, line endings and units.
+func randomFile(t *rapid.T) string {
 	pick := func(label string, words ...string) string { return rapid.SampledFrom(words).Draw(t, label) }
-	var b strings.Builder
+	var text strings.Builder
 	line := func(parts ...string) {
-		b.WriteString(strings.Repeat(" ", rapid.IntRange(0, 2).Draw(t, "indent")) + strings.Join(parts, pick("space", "", " ", "\t")) +
+		text.WriteString(strings.Repeat(" ", rapid.IntRange(0, 2).Draw(t, "indent")) + strings.Join(parts, pick("space", "", " ", "\t")) +
 			pick("end", "", "", "", "  # a note", " ; why", "\r") + "\n")
 		if pick("blank", "", "", "", "x") != "" {
-			b.WriteString(pick("between", "\n", "\n\n\n", "# on its own\n", "  ; indented\n"))
+			text.WriteString(pick("between", "\n", "\n\n\n", "# on its own\n", "  ; indented\n"))
 		}
 	}
 	var term func(depth int) string
@@ -142,7 +145,7 @@
 		return "left " + pick("op", "<", ">") + pick("left", "1500ms", "1m30s", "0.25s", "2000000us")
 	}
 	if pick("first", "", "# head\n", "\n\n; head\n\n") != "" {
-		b.WriteString("# head\n")
+		text.WriteString("# head\n")
 	}
 	for _, name := range []string{"a", "b", "c d"} {
 		line("[pool", pick("quoted", " \"", "  \"")+name+"\"", "]")
@@ -159,8 +162,8 @@
 	line("rate", "=", pick("rate", "50/s", "120/m", "7200/h", "0.5/s"))
 	line("held", "=", pick("held", "20", "0020"))
 	line("fallback-wait", "=", pick("wait", "200ms", "0.2s", "0ms", "200000us"))
-	for n := range rapid.IntRange(0, 5).Draw(t, "routes") {
-		line("[route", " \"r"+string(rune('0'+n))+"\"]")
+	for number := range rapid.IntRange(0, 5).Draw(t, "routes") {
+		line("[route", " \"r"+string(rune('0'+number))+"\"]")
 		if rapid.Bool().Draw(t, "matched") {
 			line("match", "=", term(2)+pick("and", "", " and "+term(1)))
 		}
@@ -169,14 +172,15 @@
 			line("policy", "=", "p")
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
+// TestFormatted: valid files load, and formatting preserves them.
 func TestFormatted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := someFile(t)
-		if c := loadText(text); c.Plan == nil {
-			t.Fatalf("%v\n%s", c.Messages, text)
+		text := randomFile(t)
+		if loaded := loadText(text); loaded.Plan == nil {
+			t.Fatalf("%v\n%s", loaded.Messages, text)
 		}
 		if _, err := Format("x.conf", []byte(text)); err != nil {
 			t.Fatalf("%v\n%s", err, text)
@@ -185,36 +189,37 @@
 	})
 }
 
-// TestDiffJobs: of two files, a job that goes elsewhere is named by its pair of routes, and each example does.
+// TestDiffJobs: Diff must list each pair of routes between which jobs move, and each of its examples must be routed as it says.
+// Random jobs are routed with both versions; a move that Diff does not list is a failure, unless the search was incomplete.
 func TestDiffJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		was, now := loadText(someFile(t)), loadText(someFile(t))
-		changes, complete := Diff(was, now)
-		named := map[[2]string]bool{}
-		for _, c := range changes {
-			if c.Type != "jobs" {
+		before, after := loadText(randomFile(t)), loadText(randomFile(t))
+		changes, complete := Diff(before, after)
+		listed := map[[2]string]bool{}
+		for _, change := range changes {
+			if change.Type != "jobs" {
 				continue
 			}
-			j, err := ParseJob(c.Example)
+			job, err := ParseJob(change.Example)
 			if err != nil {
-				t.Fatalf("%s: %v", c.Example, err)
+				t.Fatalf("%s: %v", change.Example, err)
 			}
-			if from, to := was.Plan.Walk(&j).Goes(), now.Plan.Walk(&j).Goes(); from != c.Old || to != c.New {
-				t.Fatalf("%s goes from %s to %s, not from %s to %s", c.Example, from, to, c.Old, c.New)
+			if from, to := before.Plan.Walk(&job).Goes(), after.Plan.Walk(&job).Goes(); from != change.Old || to != change.New {
+				t.Fatalf("%s goes from %s to %s, not from %s to %s", change.Example, from, to, change.Old, change.New)
 			}
-			named[[2]string{c.Old, c.New}] = true
+			listed[[2]string{change.Old, change.New}] = true
 		}
 		for range 30 {
-			j := route.Job{Type: rapid.SampledFrom([]string{"lookup", "load", "other"}).Draw(t, "type"),
+			job := route.Job{Type: rapid.SampledFrom([]string{"lookup", "load", "other"}).Draw(t, "type"),
 				Customer: rapid.SampledFrom([]string{"", "inegi", "censo-norte", "x"}).Draw(t, "customer"),
 				Tables:   rapid.Int64Range(-1, 25).Draw(t, "tables"), Cost: time.Duration(rapid.Int64Range(-1, 3e9).Draw(t, "cost")),
 				Memory: rapid.Int64Range(-1, 1e9).Draw(t, "memory"), Left: time.Duration(rapid.Int64Range(0, 1e11).Draw(t, "left"))}
-			if from, to := was.Plan.Walk(&j).Goes(), now.Plan.Walk(&j).Goes(); complete && (from != to) && !named[[2]string{from, to}] {
-				t.Fatalf("%s goes from %s to %s, which is not named", Describe(&j), from, to)
+			if from, to := before.Plan.Walk(&job).Goes(), after.Plan.Walk(&job).Goes(); complete && (from != to) && !listed[[2]string{from, to}] {
+				t.Fatalf("%s goes from %s to %s, which Diff does not list", Describe(&job), from, to)
 			}
 		}
-		if same, _ := Diff(was, was); len(same) > 0 {
-			t.Fatalf("with itself: %v", same)
+		if same, _ := Diff(before, before); len(same) > 0 {
+			t.Fatalf("Diff of a file with itself: %v", same)
 		}
 	})
 }
--- a/config/lang/grammar.go
+++ b/config/lang/grammar.go
@@ -131,7 +131,7 @@
 	var other participle.Error
 	switch {
 	case errors.As(err, &lexError):
-		return nil, &Message{Column: lexError.column + 1, Problem: lexError.what, Expected: lexError.wanted}
+		return nil, &Message{Column: lexError.column + 1, Problem: lexError.problem, Expected: lexError.expected}
 	case errors.As(err, &unexpected):
 		problem := "the line ends too early"
 		if !unexpected.Unexpected.EOF() {
--- a/config/lang/lang_test.go
+++ b/config/lang/lang_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/tools/txtar"
 )
 
-var update = flag.Bool("update", false, "write the expected messages anew, to be read before they are kept")
+var update = flag.Bool("update", false, "rewrite the expected messages; review them before they are committed")
 
-// TestMain gives the property tests the same seed in each run; -rapid.seed looks further.
+// TestMain gives the property tests a fixed seed, so that runs are reproducible; -rapid.seed tries others.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// testPlatform is what the kept files are checked against.
+// testPlatform is the platform that the files in testdata are checked against.
 var testPlatform = &Platform{
 	Classes: []PlatformClass{
 		{Name: "lookup", LatencyTarget: time.Second, Deadline: 5 * time.Second},
@@ -35,8 +35,8 @@
 	Fronts: []string{"framed"},
 }
 
-// inside makes a directory of files the working one, so that messages name short paths.
-func inside(t *testing.T, files []txtar.File) {
+// writeFiles writes the files to a temporary directory and makes it the working directory, so that messages have short paths.
+func writeFiles(t *testing.T, files []txtar.File) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	for _, f := range files {
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestBroken: each file is rejected, or warned of, with the messages kept beside it, which name file and line.
+// TestBroken: each file in testdata/broken must give exactly the messages in its archive. Files named warn-* have only warnings
+// and load; all others are rejected.
 func TestBroken(t *testing.T) {
 	archives, err := filepath.Glob("testdata/broken/*.txtar")
 	if err != nil || len(archives) < 150 {
@@ -58,40 +59,41 @@
 	for _, path := range archives {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txtar"), func(t *testing.T) {
 			path, _ := filepath.Abs(path)
-			a, err := txtar.ParseFile(path)
+			archive, err := txtar.ParseFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			files, want := a.Files, ""
+			files, want := archive.Files, ""
 			if last := len(files) - 1; files[last].Name == "messages" {
 				files, want = files[:last], string(files[last].Data)
 			}
-			inside(t, files)
-			c := Load("operator.conf", testPlatform)
+			writeFiles(t, files)
+			loaded := Load("operator.conf", testPlatform)
 			var got bytes.Buffer
-			if err := c.Messages.Print(&got); err != nil {
+			if err := loaded.Messages.Print(&got); err != nil {
 				t.Fatal(err)
 			}
 			if *update {
-				a.Files = append(files, txtar.File{Name: "messages", Data: got.Bytes()})
-				if err := os.WriteFile(path, txtar.Format(a), 0o600); err != nil {
+				archive.Files = append(files, txtar.File{Name: "messages", Data: got.Bytes()})
+				if err := os.WriteFile(path, txtar.Format(archive), 0o600); err != nil {
 					t.Fatal(err)
 				}
-			} else if d := cmp.Diff(want, got.String()); d != "" {
-				t.Error(d)
+			} else if diff := cmp.Diff(want, got.String()); diff != "" {
+				t.Error(diff)
 			}
-			warns := strings.HasPrefix(filepath.Base(path), "warn-")
-			if len(c.Messages) == 0 || (c.Plan == nil) == warns || (c.Messages.Errors() > 0) == warns {
-				t.Errorf("plan %v, %d errors of %d messages", c.Plan != nil, c.Messages.Errors(), len(c.Messages))
+			onlyWarnings := strings.HasPrefix(filepath.Base(path), "warn-")
+			if len(loaded.Messages) == 0 || (loaded.Plan == nil) == onlyWarnings || (loaded.Messages.Errors() > 0) == onlyWarnings {
+				t.Errorf("plan %v, %d errors of %d messages", loaded.Plan != nil, loaded.Messages.Errors(), len(loaded.Messages))
 			}
 		})
 	}
 }
 
-// TestBytes: files that no text file can hold, each with a message that names the line.
+// TestBytes: unusual encodings, control characters and extreme lines, which txtar archives can't hold. Each is accepted or
+// rejected with a short message that has the line.
 func TestBytes(t *testing.T) {
 	const good = "[pool \"a\"]\nid = *\n[route \"r\"]\npool = a\n"
-	for _, c := range []struct{ name, text, want string }{
+	for _, testCase := range []struct{ name, text, want string }{
 		{"CRLF", strings.ReplaceAll(good, "\n", "\r\n"), ""},
 		{"BOM", "\ufeff" + good, ""},
 		{"no end of line", strings.TrimSuffix(good, "\n"), ""},
@@ -100,31 +102,31 @@
 		{"NUL", good + "id\x00 = a\n", `operator.conf:5:3: error: control character '\x00'`},
 		{"escape", good + "# \x1b[31m\n", `operator.conf:5:3: error: control character '\x1b'`},
 		{"lone CR", "[pool \"a\"]\rid = *\n", `operator.conf:1:11: error: control character '\r'`},
-		{"invalid UTF-8", good + "# ñ\xff\n", "operator.conf:5:4: error: bytes that are no UTF-8"},
-		{"UTF-16", "\xff\xfe[\x00p\x00", "operator.conf:1:1: error: bytes that are no UTF-8"},
+		{"invalid UTF-8", good + "# ñ\xff\n", "operator.conf:5:4: error: bytes that are not valid UTF-8"},
+		{"UTF-16", "\xff\xfe[\x00p\x00", "operator.conf:1:1: error: bytes that are not valid UTF-8"},
 		{"line of 1 MB", good + "# " + strings.Repeat("x", 1<<20) + "\n", "operator.conf:5:1: error: a line of 1048578 bytes"},
 		{"list of 1 MB", "[pool \"a\"]\nid = e1" + strings.Repeat(", e", 1<<18) + "\n", "operator.conf:2:1: error: a line of "},
 		{"parentheses", "[route \"r\"]\nmatch = " + strings.Repeat("(", 10_000) + "\n", "operator.conf:2:59: error: parentheses and nots go too deep"},
 		{"nots", "[route \"r\"]\nmatch = " + strings.Repeat("not ", 3000) + "all\n", "error: parentheses and nots go too deep"},
-		{"text behind the end", good + strings.Repeat("\n", 1000) + "x\n", "operator.conf:1005:2: error: the line ends too early"},
+		{"text after blank lines", good + strings.Repeat("\n", 1000) + "x\n", "operator.conf:1005:2: error: the line ends too early"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			inside(t, []txtar.File{{Name: "operator.conf", Data: []byte(c.text)}})
+		t.Run(testCase.name, func(t *testing.T) {
+			writeFiles(t, []txtar.File{{Name: "operator.conf", Data: []byte(testCase.text)}})
 			messages := Load("operator.conf", nil).Messages
-			if c.want == "" && len(messages) > 0 || c.want != "" && (len(messages) == 0 ||
-				!strings.Contains(messages[0].String(), c.want)) {
+			if testCase.want == "" && len(messages) > 0 || testCase.want != "" && (len(messages) == 0 ||
+				!strings.Contains(messages[0].String(), testCase.want)) {
 				t.Error(messages)
 			}
-			for _, m := range messages {
-				if len(m.String()) > 1000 {
-					t.Error("a message of ", len(m.String()), " bytes")
+			for _, message := range messages {
+				if len(message.String()) > 1000 {
+					t.Error("message has too many bytes: ", len(message.String()), " bytes")
 				}
 			}
 		})
 	}
 }
 
-// TestLarge: 100 MB and 100,000 sections are told apart from what can be read, in little time and memory.
+// TestLarge: a file of 100 MB and one of 100,000 sections are rejected with an error, without much time or memory.
 func TestLarge(t *testing.T) {
 	t.Chdir(t.TempDir())
 	f, err := os.Create("operator.conf")
@@ -139,11 +141,11 @@
 		got[0].String() != "operator.conf:1:1: error: can't be read: it is too large: all files together may have 16 MB; wanted: a readable file" {
 		t.Error(got)
 	}
-	var b strings.Builder
-	for n := range 100_000 {
-		fmt.Fprintf(&b, "[pool \"p%d\"]\nid=e%d\n", n, n)
+	var text strings.Builder
+	for number := range 100_000 {
+		fmt.Fprintf(&text, "[pool \"p%d\"]\nid=e%d\n", number, number)
 	}
-	if err := os.WriteFile("operator.conf", []byte(b.String()), 0o600); err != nil {
+	if err := os.WriteFile("operator.conf", []byte(text.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got := Load("operator.conf", nil).Messages; len(got) == 0 || len(got) > maxMessages+1 ||
@@ -152,7 +154,7 @@
 	}
 }
 
-// TestFiles: includes that the file system makes difficult.
+// TestFiles: includes through symbolic links, out of the directory, of unreadable files, in deep chains and in a diamond.
 func TestFiles(t *testing.T) {
 	files := []txtar.File{{Name: "top/operator.conf", Data: []byte("include = \"rooms/*.conf\"\n")},
 		{Name: "top/rooms/a.conf", Data: []byte("[team \"a\"]\nshare = 5%\n")}, {Name: "secret.conf", Data: []byte("[pool \"x\"]\n")}}
@@ -160,21 +162,21 @@
 		t.Helper()
 		got := Load("top/operator.conf", nil).Messages
 		if want == "" && len(got) > 0 || want != "" && (len(got) == 0 || !strings.Contains(got[0].String(), want)) {
-			t.Error(got, "; wanted ", want)
+			t.Error(got, "; expected ", want)
 		}
 	}
-	link := func(to, at string) {
+	link := func(target, path string) {
 		t.Helper()
-		if err := os.Symlink(to, at); err != nil {
+		if err := os.Symlink(target, path); err != nil {
 			t.Fatal(err)
 		}
 	}
-	inside(t, files)
+	writeFiles(t, files)
 	expect("")
 	link("../../secret.conf", "top/rooms/b.conf")
 	expect(`top/operator.conf:1:11: error: include "top/rooms/b.conf" leads out of the top directory`)
 	os.Remove("top/rooms/b.conf")
-	link("a.conf", "top/rooms/c.conf") // the same file by another name is read once
+	link("a.conf", "top/rooms/c.conf") // the same file by another name is read only once
 	expect("")
 	link("d.conf", "top/rooms/d.conf")
 	expect(`include "top/rooms/d.conf": `)
@@ -190,13 +192,13 @@
 	if err := os.WriteFile("top/f.conf", nil, 0o000); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.ReadFile("top/f.conf"); err != nil { // not for a superuser, who may read everything
+	if _, err := os.ReadFile("top/f.conf"); err != nil { // root can read every file
 		expect(`top/operator.conf:1:11: error: include "top/f.conf": permission denied`)
 	}
-	// A chain that is too deep, and a diamond that is fine.
-	for n := range 20 {
-		text := fmt.Sprintf("include = \"deep%d.conf\"\n", n+1)
-		if err := os.WriteFile(fmt.Sprintf("top/deep%d.conf", n), []byte(text), 0o600); err != nil {
+	// A chain of includes that is too deep is rejected; a diamond is accepted.
+	for number := range 20 {
+		text := fmt.Sprintf("include = \"deep%d.conf\"\n", number+1)
+		if err := os.WriteFile(fmt.Sprintf("top/deep%d.conf", number), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/config/lang/lexer.go
+++ b/config/lang/lexer.go
@@ -46,21 +46,23 @@
 	column int // number of characters before offset
 }
 
+// isWordStart reports whether a word without quotes can begin with r. * and ? are wildcards.
 func isWordStart(r rune) bool {
 	return r == '_' || r == '*' || r == '?' || unicode.IsLetter(r)
 }
 
+// isWordPart reports whether a word without quotes can continue with r.
 func isWordPart(r rune) bool {
 	return isWordStart(r) || r == '-' || r == '.' || r >= '0' && r <= '9'
 }
 
 // syntaxError is an error of the lexer. The column is counted from 0.
 type syntaxError struct {
-	column       int
-	what, wanted string
+	column            int
+	problem, expected string
 }
 
-func (b *syntaxError) Error() string { return b.what }
+func (e *syntaxError) Error() string { return e.problem }
 
 // Next returns the next token. Its column is counted in characters, from 1.
 func (s *scanner) Next() (lexer.Token, error) {
@@ -103,7 +105,8 @@
 		}
 		return emit(quantityToken, size)
 	case rest == `\`:
-		return lexer.Token{}, &syntaxError{s.column, "a backslash at the end of the line", "a character behind it, which it takes by its word"}
+		return lexer.Token{}, &syntaxError{s.column, "a backslash at the end of the line",
+			"a character after it, which the backslash makes literal"}
 	case isWordStart(r) || r == '\\':
 		size := 0
 		for size < len(rest) {
@@ -122,9 +125,9 @@
 		}
 		return emit(wordToken, size)
 	}
-	for _, mark := range [...]string{"..", "!=", "<=", ">=", "=", "<", ">", "(", ")", "[", "]", ","} {
-		if strings.HasPrefix(rest, mark) {
-			return emit(punctuationToken, len(mark))
+	for _, punctuation := range [...]string{"..", "!=", "<=", ">=", "=", "<", ">", "(", ")", "[", "]", ","} {
+		if strings.HasPrefix(rest, punctuation) {
+			return emit(punctuationToken, len(punctuation))
 		}
 	}
 	return lexer.Token{}, &syntaxError{s.column, fmt.Sprintf("character %q does not belong here", r),
--- a/config/lang/load.go
+++ b/config/lang/load.go
@@ -145,7 +145,7 @@
 	case info.IsDir():
 		return nil, errors.New("it is a directory")
 	case !info.Mode().IsRegular():
-		return nil, errors.New("it is no regular file")
+		return nil, errors.New("it is not a regular file")
 	case l.totalBytes+info.Size() > maxTotalBytes:
 		return nil, fmt.Errorf("it is too large: all files together may have %d MB", maxTotalBytes>>20)
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	if len(l.includeChain) >= maxDepth {
-		report(fmt.Sprintf("includes go deeper than %d files", maxDepth), "a flatter order of files")
+		report(fmt.Sprintf("includes go deeper than %d files", maxDepth), "less deeply nested includes")
 		return
 	}
 	raw, err := l.readBounded(resolved)
@@ -188,21 +188,21 @@
 	}
 	l.parsedFiles[resolved] = nil
 	l.includeChain = append(l.includeChain, includeStep{path, resolved, 0})
-	f := parseFile(path, raw, l.addMessage)
-	l.collect(f)
+	file := parseFile(path, raw, l.addMessage)
+	l.collect(file)
 	l.includeChain = l.includeChain[:len(l.includeChain)-1]
-	l.parsedFiles[resolved] = f
+	l.parsedFiles[resolved] = file
 }
 
 // parseFile splits a file into lines and parses each. Invalid lines are passed to report and marked.
 func parseFile(path string, raw []byte, report func(Message)) *sourceFile {
-	f := &sourceFile{path: path}
+	file := &sourceFile{path: path}
 	raw = bytes.TrimPrefix(raw, []byte("\ufeff"))
 	for number := 1; len(raw) > 0; number++ {
 		text, rest, _ := bytes.Cut(raw, []byte("\n"))
 		raw = rest
 		text = bytes.TrimSuffix(text, []byte("\r"))
-		line := sourceLine{file: f, number: number, text: string(text)}
+		line := sourceLine{file: file, number: number, text: string(text)}
 		markInvalid := func(column int, problem, expected string) {
 			report(Message{File: path, Line: number, Column: column, Problem: problem, Expected: expected, source: line.text})
 			line.code, line.comment, line.invalid = "", "", true
@@ -227,22 +227,22 @@
 			}
 			column := utf8.RuneCount(text[:index]) + 1
 			line.text = strings.ToValidUTF8(line.text, "\ufffd")
-			markInvalid(column, "bytes that are no UTF-8", "text in UTF-8")
+			markInvalid(column, "bytes that are not valid UTF-8", "text in UTF-8")
 		case control >= 0:
 			markInvalid(utf8.RuneCountInString(line.text[:control])+1, fmt.Sprintf("control character %q", line.text[control]),
 				"text without control characters")
 		}
-		f.lines = append(f.lines, line)
+		file.lines = append(file.lines, line)
 	}
-	errs := parseLines(f.lines)
-	for index := range f.lines {
-		if line := &f.lines[index]; errs[index] != nil {
+	errs := parseLines(file.lines)
+	for index := range file.lines {
+		if line := &file.lines[index]; errs[index] != nil {
 			report(Message{File: path, Line: line.number, Column: errs[index].Column, Problem: errs[index].Problem,
 				Expected: errs[index].Expected, source: line.text})
 			line.code, line.comment, line.invalid = "", "", true
 		}
 	}
-	return f
+	return file
 }
 
 // linesPerGoroutine is the number of lines that justify one more goroutine: a few milliseconds of work.
@@ -268,11 +268,11 @@
 }
 
 // collect adds the sections of a file and processes its includes.
-func (l *loader) collect(f *sourceFile) {
+func (l *loader) collect(file *sourceFile) {
 	var current *section
 	afterInvalidHeader := false // keys after an invalid header belong to no section and are not reported
-	for index := range f.lines {
-		line := &f.lines[index]
+	for index := range file.lines {
+		line := &file.lines[index]
 		switch node := line.node; {
 		case node == nil:
 			if line.invalid && strings.HasPrefix(strings.TrimSpace(line.text), "[") {
--- a/config/lang/match.go
+++ b/config/lang/match.go
@@ -30,7 +30,7 @@
 	return names
 }
 
-// buildMatch builds a match from an expression. Errors are reported; the result is then not usable.
+// buildMatch builds a match from an expression. The result is not usable if an error was reported.
 func (c *checker) buildMatch(line *sourceLine, node *orNode) *route.Match {
 	var alternatives []*route.Match
 	for _, and := range node.Operands {
@@ -132,8 +132,8 @@
 		"one of "+strings.Join(shown, ", "))
 }
 
-// buildQuantityTerm builds the match of a term over a numeric field, as ranges of values. A != leaves out jobs that do not state
-// the field.
+// buildQuantityTerm builds the match of a term over a numeric field, as ranges of values. No range holds for a job that does not
+// state the field, so neither does a !=.
 func (c *checker) buildQuantityTerm(line *sourceLine, node *termNode, match *route.Match, kind unitKind) *route.Match {
 	spec := &keySpec{name: node.Field, form: quantityForm, kind: kind, max: math.MaxInt64}
 	read := func(number *quantityNode) (int64, bool) {
@@ -198,7 +198,7 @@
 	if node.NotIn {
 		// Like any comparison, not in does not hold for a job that does not state the field.
 		return &route.Match{Op: route.And, Of: []*route.Match{
-			{Op: route.In, Field: match.Field, Ranges: []route.Range{{From: 0, To: math.MaxInt64}}, Source: node.Field + " is told"},
+			{Op: route.In, Field: match.Field, Ranges: []route.Range{{From: 0, To: math.MaxInt64}}, Source: node.Field + " is stated"},
 			{Op: route.Not, Of: []*route.Match{match}}}}
 	}
 	return match
--- a/config/lang/message.go
+++ b/config/lang/message.go
@@ -48,30 +48,30 @@
 type Messages []Message
 
 // Errors returns the number of errors, without warnings.
-func (ms Messages) Errors() (n int) {
-	for _, m := range ms {
+func (messages Messages) Errors() (count int) {
+	for _, m := range messages {
 		if !m.Warning {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Err returns the first error with the number of further ones, or nil if there is none.
-func (ms Messages) Err() error {
-	errorCount := ms.Errors()
+func (messages Messages) Err() error {
+	errorCount := messages.Errors()
 	if errorCount == 0 {
 		return nil
 	}
-	first := ms[slices.IndexFunc(ms, func(m Message) bool { return !m.Warning })]
+	first := messages[slices.IndexFunc(messages, func(m Message) bool { return !m.Warning })]
 	if errorCount > 1 {
 		return fmt.Errorf("%s (and %d more)", first, errorCount-1)
 	}
 	return fmt.Errorf("%s", first)
 }
 
-func (ms Messages) sort() {
-	slices.SortStableFunc(ms, func(a, b Message) int {
+func (messages Messages) sort() {
+	slices.SortStableFunc(messages, func(a, b Message) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), a.Line-b.Line, a.Column-b.Column, cmp.Compare(a.Problem, b.Problem))
 	})
 }
@@ -80,9 +80,9 @@
 const maxShownChars = 160
 
 // Print writes each message with its line and a caret below the column.
-func (ms Messages) Print(w io.Writer) error {
+func (messages Messages) Print(w io.Writer) error {
 	var out strings.Builder
-	for _, m := range ms {
+	for _, m := range messages {
 		out.WriteString(m.String())
 		out.WriteByte('\n')
 		if text := []rune(strings.ReplaceAll(m.source, "\t", " ")); len(text) > 0 {
@@ -102,9 +102,9 @@
 }
 
 // JSON writes the messages as one JSON array.
-func (ms Messages) JSON(w io.Writer) error {
-	out := make([]Message, len(ms))
-	for index, m := range ms {
+func (messages Messages) JSON(w io.Writer) error {
+	out := make([]Message, len(messages))
+	for index, m := range messages {
 		m.Severity = m.severity()
 		out[index] = m
 	}
--- a/config/platform.go
+++ b/config/platform.go
@@ -17,7 +17,8 @@
 	platform := lang.Platform{Fronts: []string{"framed"}}
 	locations := []logic.Location{settings.Location}
 	for _, class := range settings.Classes {
-		platformClass := lang.PlatformClass{Name: string(class.Name), LatencyTarget: class.LatencyTarget, Deadline: class.Deadline, DedupWindow: class.Window,
+		platformClass := lang.PlatformClass{Name: string(class.Name), LatencyTarget: class.LatencyTarget,
+			Deadline: class.Deadline, DedupWindow: class.Window,
 			Keyed: class.Repeat == logic.Keyed}
 		for _, location := range class.Locations {
 			platformClass.Locations = append(platformClass.Locations, string(location))
