--- a/config/config.go
+++ b/config/config.go
@@ -140,11 +140,11 @@
 
 // Differs returns the sorted keys whose values differ in next and that take effect only after a restart. The address of
 // discovery can change at runtime; the seed and the known events matter only at startup, so they are not compared.
-func (current Config) Differs(next Config) (keys []string) {
+func (c Config) Differs(next Config) (keys []string) {
 	for key, differs := range map[string]bool{
-		"name": current.Name != next.Name, "listen": current.Listen != next.Listen, "limits.cores": current.Cores != next.Cores,
-		"limits.memory_mb": current.MemoryMB != next.MemoryMB, "limits.sockets": current.Sockets != next.Sockets,
-		"settings": !reflect.DeepEqual(current.Settings, next.Settings),
+		"name": c.Name != next.Name, "listen": c.Listen != next.Listen, "limits.cores": c.Cores != next.Cores,
+		"limits.memory_mb": c.MemoryMB != next.MemoryMB, "limits.sockets": c.Sockets != next.Sockets,
+		"settings": !reflect.DeepEqual(c.Settings, next.Settings),
 	} {
 		if differs {
 			keys = append(keys, key)
--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -165,43 +165,43 @@
 const maxNameBytes = 64
 
 // checkSection checks the header of a section and reads the values of its keys.
-func (c *checker) checkSection(section *section) {
+func (c *checker) checkSection(s *section) {
 	settings := map[string]*setting{}
-	c.settings[section] = settings
-	sameKind, known := c.sectionsByName[section.kind]
+	c.settings[s] = settings
+	sameKind, known := c.sectionsByName[s.kind]
 	switch {
 	case !known:
-		c.reportError(section.line, section.column, fmt.Sprintf("section [%s] is not known%s", section.kind, suggestion(section.kind, sectionKinds)),
+		c.reportError(s.line, s.column, fmt.Sprintf("section [%s] is not known%s", s.kind, suggestion(s.kind, sectionKinds)),
 			"one of "+strings.Join(sectionKinds, ", "))
 		return
-	case section.name == "":
-		c.reportError(section.line, section.nameColumn, fmt.Sprintf("a %s without a name", section.kind), fmt.Sprintf("[%s \"name\"]", section.kind))
-	case len(section.name) > maxNameBytes || strings.ContainsFunc(section.name, func(r rune) bool {
+	case s.name == "":
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("a %s without a name", s.kind), fmt.Sprintf("[%s \"name\"]", s.kind))
+	case len(s.name) > maxNameBytes || strings.ContainsFunc(s.name, func(r rune) bool {
 		return !unicode.IsLetter(r) && !unicode.IsDigit(r) && !strings.ContainsRune("-_. /", r)
 	}):
-		c.reportError(section.line, section.nameColumn, fmt.Sprintf("%q is no name", section.name),
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("%q is no name", s.name),
 			fmt.Sprintf("letters, digits, spaces and -_./, at most %d", maxNameBytes))
-	case sameKind[section.name] != nil:
-		first := sameKind[section.name]
-		c.reportError(section.line, section.nameColumn, fmt.Sprintf("%s %q is there twice", section.kind, section.name), "each name once",
+	case sameKind[s.name] != nil:
+		first := sameKind[s.name]
+		c.reportError(s.line, s.nameColumn, fmt.Sprintf("%s %q is there twice", s.kind, s.name), "each name once",
 			Related{first.line.file.path, first.line.number, "the first one"})
 	default:
-		sameKind[section.name] = section
+		sameKind[s.name] = s
 	}
-	for _, e := range section.entries {
-		spec := findKey(section.kind, e.key)
+	for _, e := range s.entries {
+		spec := findKey(s.kind, e.key)
 		switch first := settings[e.key]; {
 		case spec == nil:
-			c.reportError(e.line, e.column, fmt.Sprintf("key %q is not known in a %s%s", e.key, section.kind,
-				suggestion(e.key, keyNames(section.kind))),
-				"one of "+strings.Join(keyNames(section.kind), ", "))
+			c.reportError(e.line, e.column, fmt.Sprintf("key %q is not known in a %s%s", e.key, s.kind,
+				suggestion(e.key, keyNames(s.kind))),
+				"one of "+strings.Join(keyNames(s.kind), ", "))
 		case first != nil:
-			c.reportError(e.line, e.column, fmt.Sprintf("key %q is there twice in %s %q", e.key, section.kind, section.name),
+			c.reportError(e.line, e.column, fmt.Sprintf("key %q is there twice in %s %q", e.key, s.kind, s.name),
 				"each key once",
 				Related{first.line.file.path, first.line.number, "the first one"})
 		default:
 			if value := c.readValue(e, spec); value != nil {
-				value.definedIn = section
+				value.definedIn = s
 				settings[e.key] = value
 			}
 		}
@@ -718,7 +718,7 @@
 }
 
 // checkAgainstPlatform checks a route for each class whose jobs it takes: some engine of its pools must be allowed for the class,
-// and its times must be within the deadline, the latency target and the dedup window of the class.
+// its waits must be below the deadline or the latency target of the class, and its repeat window must not exceed the dedup window.
 func (c *checker) checkAgainstPlatform(s *section, r *route.Route) {
 	for _, class := range c.platform.Classes {
 		if !r.Takes(route.Type, class.Name) {
@@ -756,8 +756,8 @@
 			return slices.ContainsFunc(patterns, func(pattern route.Pattern) bool { return pattern.Matches(name) })
 		})
 	}
-	reachable := slices.ContainsFunc(r.Pools, func(pattern *route.Pool) bool {
-		return slices.ContainsFunc(pattern.Any, func(members []route.Members) bool {
+	reachable := slices.ContainsFunc(r.Pools, func(pool *route.Pool) bool {
+		return slices.ContainsFunc(pool.Any, func(members []route.Members) bool {
 			return !slices.ContainsFunc(members, func(member route.Members) bool {
 				return !compatible(member.Locations, class.Locations) || !compatible(member.Kinds, class.Kinds)
 			})
--- a/config/lang/load.go
+++ b/config/lang/load.go
@@ -46,7 +46,7 @@
 
 // sourceFile is a file that was read and split into lines.
 type sourceFile struct {
-	path  string // as given in messages
+	path  string // as shown in messages
 	lines []sourceLine
 }
 
--- a/config/settings.go
+++ b/config/settings.go
@@ -32,7 +32,7 @@
 		ControllerNumber int `json:"rank"`
 		Classes          []struct {
 			Name          string           `json:"name"`
-			Aim           time.Duration    `json:"aim"`
+			LatencyTarget time.Duration    `json:"aim"`
 			Deadline      time.Duration    `json:"deadline"`
 			TargetStretch float64          `json:"aim_stretch"`
 			Value         float64          `json:"gain"`
@@ -95,8 +95,9 @@
 		return Settings{}, err
 	}
 	logicSettings := logic.Settings{
-		Controllers: document.Controllers, Number: document.ControllerNumber, Location: document.Location, OverShareValue: document.OverShareValue,
-		ListOnRequest: document.Discovery == "on_request", MayRecall: document.Permissions.MayRecall,
+		Controllers: document.Controllers, Number: document.ControllerNumber, Location: document.Location,
+		OverShareValue: document.OverShareValue,
+		ListOnRequest:  document.Discovery == "on_request", MayRecall: document.Permissions.MayRecall,
 		GrantsCount: document.FamilyInfo.GrantsCount, PriorityHeeded: document.FamilyInfo.PriorityHeeded,
 		GrantShare: document.FamilyInfo.GrantShare, OverGrantsPage: document.FamilyInfo.OutOfMemory == "swap",
 		MaxAttempts: document.Permissions.MaxAttempts, Tick: document.Tick,
@@ -114,7 +115,7 @@
 			return Settings{}, invalidValue(fmt.Sprintf("settings.classes[%d].repeat", index), class.Repeat,
 				"retryable, dedup or fragile")
 		}
-		logicClass := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.Aim, TargetStretch: class.TargetStretch,
+		logicClass := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.LatencyTarget, TargetStretch: class.TargetStretch,
 			Deadline: class.Deadline, Value: class.Value, LateValue: class.LateValue, Repeat: repeat,
 			Group:  map[string]logic.Group{"zone": logic.GroupLocation, "cell": logic.GroupCell}[class.Group],
 			Window: class.DedupWindow, Ordered: class.Ordered, Locations: class.Locations,
