--- a/config/lang/grammar.go
+++ b/config/lang/grammar.go
@@ -62,11 +62,12 @@
 	Text string `parser:"@Figure"`
 }
 
-// orNode is an expression of a match; and binds tighter than or.
+// orNode is an expression of a match: a disjunction of conjunctions, as and binds tighter than or.
 type orNode struct {
 	Operands []*andNode `parser:"@@ ( 'or' @@ )*"`
 }
 
+// andNode is a conjunction of conditions.
 type andNode struct {
 	Operands []*notNode `parser:"@@ ( 'and' @@ )*"`
 }
--- a/config/lang/lang_test.go
+++ b/config/lang/lang_test.go
@@ -119,7 +119,7 @@
 			}
 			for _, message := range messages {
 				if len(message.String()) > 1000 {
-					t.Error("message has too many bytes: ", len(message.String()), " bytes")
+					t.Error("message is too long: ", len(message.String()), " bytes")
 				}
 			}
 		})
