--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads and validates the configuration of a controller and applies its defaults. No other package does this.
 package config
 
 import (
@@ -18,73 +18,76 @@
 	"yarrowbarrow/decide/route"
 )
 
-// Config is all that a controller is told at its start.
+// Config is the complete configuration of a controller at startup.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string // where the list of engines comes from
-	Known     json.RawMessage
+	Listen    string          // address for client connections
+	Discovery string          // address of the discovery service, the source of the list of engines
+	Known     json.RawMessage // discovery events up to the start, in the format of the discovery service
 	Seed      int64
 	Cores     float64
 	MemoryMB  int64
-	Sockets   int // file descriptors
+	Sockets   int // limit on file descriptors
 	Settings  Settings
-	// The operators' routes, of their file; nil without one.
+	// Plan holds the routes of the operators' file; nil without a file.
 	Plan     *route.Plan
-	Fleet    *lang.Fleet   // whom this instance talks to; nil: to nobody
-	Messages lang.Messages // of its check, also where it was faulty
+	Fleet    *lang.Fleet   // peers of this instance; nil if it has none
+	Messages lang.Messages // findings in the operators' file, also set if its check failed
 }
 
-// FromEnvironment reads the file that BALANCER_CONFIG names; BALANCER_NAME and BALANCER_LISTEN go before it. The
-// operators' file is read and checked against it, where one is named.
-func FromEnvironment(operators string) (Config, error) {
+// FromEnvironment reads the configuration file named by BALANCER_CONFIG. BALANCER_NAME and BALANCER_LISTEN override its
+// name and listen address if they are not empty. If operatorsPath is not empty, the operators' file there is read and checked
+// against the configuration.
+func FromEnvironment(operatorsPath string) (Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
-		return Config{}, faulty("BALANCER_CONFIG", path, "the path of the configuration file")
+		return Config{}, invalidValue("BALANCER_CONFIG", path, "the path of the configuration file")
 	}
 	raw, err := readFile(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	c, err := Read(raw, os.Getenv("BALANCER_NAME"), os.Getenv("BALANCER_LISTEN"))
-	if err == nil && operators != "" {
-		err = c.readOperators(operators)
+	cfg, err := Read(raw, os.Getenv("BALANCER_NAME"), os.Getenv("BALANCER_LISTEN"))
+	if err == nil && operatorsPath != "" {
+		err = cfg.loadOperators(operatorsPath)
 	}
-	return c, err
+	return cfg, err
 }
 
-// mostFile is the longest configuration in bytes: the longest list that discovery may tell, and as much again of settings as any
-// deployment has.
-const mostFile = 10 << 20
+// maxConfigBytes limits the size of the configuration file. It has room for the longest list of engines that discovery may
+// send, plus the largest settings of any deployment.
+const maxConfigBytes = 10 << 20
 
-// readFile reads a file, or a pipe, that may be of any length.
+// readFile reads a file or a pipe and fails if it has more than maxConfigBytes. The size of a pipe is known only after reading,
+// so the limit is checked again then.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size() > mostFile {
-		return nil, fmt.Errorf("%d bytes, at most %d are read", info.Size(), mostFile)
+	if info, err := f.Stat(); err == nil && info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("file has %d bytes, the maximum is %d", info.Size(), maxConfigBytes)
 	}
-	raw, err := io.ReadAll(io.LimitReader(f, mostFile+1))
-	if err == nil && len(raw) > mostFile {
-		err = fmt.Errorf("more than %d bytes", mostFile)
+	raw, err := io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
+	if err == nil && len(raw) > maxConfigBytes {
+		err = fmt.Errorf("file is larger than the maximum of %d bytes", maxConfigBytes)
 	}
 	return raw, err
 }
 
-func (c *Config) readOperators(path string) error {
+// loadOperators loads the operators' file and checks it against the platform's settings in c. The messages are set in any case.
+func (c *Config) loadOperators(path string) error {
 	platform := c.Platform()
 	loaded := lang.Load(path, &platform)
 	c.Plan, c.Fleet, c.Messages = loaded.Plan, loaded.Fleet, loaded.Messages
 	return loaded.Messages.Err()
 }
 
-// Read takes the file's text; a name and an address to listen on that are not empty go before the file's.
+// Read parses and validates the text of a configuration file. A non-empty name or listen address overrides that of the file.
 func Read(raw []byte, name, listen string) (Config, error) {
-	// What a small machine of ours has, where nothing is said.
-	c := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
+	// The defaults for limits that the file does not set are those of a small machine.
+	cfg := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
 	var file struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
@@ -99,44 +102,44 @@
 		} `json:"limits"`
 	}
 	if err := decode("", raw, &file); err != nil {
-		return c, err
-	}
-	c.Name, c.Listen, c.Discovery, c.Known = file.Name, file.Listen, file.Discovery, file.Known
-	override(&c.Name, name)
-	override(&c.Listen, listen)
-	set(&c.Cores, file.Limits.Cores)
-	set(&c.MemoryMB, file.Limits.MemoryMB)
-	set(&c.Sockets, file.Limits.Sockets)
+		return cfg, err
+	}
+	cfg.Name, cfg.Listen, cfg.Discovery, cfg.Known = file.Name, file.Listen, file.Discovery, file.Known
+	overrideIfSet(&cfg.Name, name)
+	overrideIfSet(&cfg.Listen, listen)
+	setIfPresent(&cfg.Cores, file.Limits.Cores)
+	setIfPresent(&cfg.MemoryMB, file.Limits.MemoryMB)
+	setIfPresent(&cfg.Sockets, file.Limits.Sockets)
 	seed, seedErr := strconv.ParseUint(file.Seed, 16, 64)
-	c.Seed = int64(seed)
+	cfg.Seed = int64(seed)
 	if len(file.Settings) == 0 {
-		return c, faulty("settings", "", "an object")
+		return cfg, invalidValue("settings", "", "an object")
 	}
-	if len(c.Known) == 0 {
-		return c, faulty("known", "", "the events of discovery up to now")
+	if len(cfg.Known) == 0 {
+		return cfg, invalidValue("known", "", "the discovery events up to now")
 	}
 	var err error
-	if c.Settings, err = ReadSettings(file.Settings); err != nil {
-		return c, err
-	}
-	s := &c.Settings
-	return c, errors.Join(
-		check(c.Name != "", "name", c.Name, "a name"),
-		check(isAddress(c.Listen), "listen", c.Listen, "an address such as 127.0.0.1:5050"),
-		check(isAddress(c.Discovery), "feed", c.Discovery, "an address such as 127.0.0.1:7070"),
-		check(seedErr == nil, "seed", file.Seed, "up to 16 hex digits"),
-		check(c.Cores > 0 && c.Cores <= 1024, "limits.cores", c.Cores, "above 0 to 1024"),
-		check(c.MemoryMB >= 32, "limits.memory_mb", c.MemoryMB, "32 or more"),
-		check(c.Sockets >= 64, "limits.sockets", c.Sockets, "64 or more"),
-		check(s.ConnectTimeout > 0, "settings.permissions.connect_timeout", s.ConnectTimeout, "above 0"),
-		check(s.IdleClose >= 0, "settings.permissions.idle_close", s.IdleClose, "0 (never) or above"),
-		check(s.DrainGrace >= 0, "settings.safety.drain_grace", s.DrainGrace, "0 (not told) or above"),
-		check(s.Streams > 0, "settings.permissions.streams_per_conn", s.Streams, "1 or more"),
-		check(s.OpenCap >= 0, "settings.permissions.open_cap", s.OpenCap, "0 (no limit) or above"))
+	if cfg.Settings, err = ReadSettings(file.Settings); err != nil {
+		return cfg, err
+	}
+	settings := &cfg.Settings
+	return cfg, errors.Join(
+		checkValue(cfg.Name != "", "name", cfg.Name, "a non-empty name"),
+		checkValue(isAddress(cfg.Listen), "listen", cfg.Listen, "an address such as 127.0.0.1:5050"),
+		checkValue(isAddress(cfg.Discovery), "feed", cfg.Discovery, "an address such as 127.0.0.1:7070"),
+		checkValue(seedErr == nil, "seed", file.Seed, "up to 16 hex digits"),
+		checkValue(cfg.Cores > 0 && cfg.Cores <= 1024, "limits.cores", cfg.Cores, "more than 0, up to 1024"),
+		checkValue(cfg.MemoryMB >= 32, "limits.memory_mb", cfg.MemoryMB, "32 or more"),
+		checkValue(cfg.Sockets >= 64, "limits.sockets", cfg.Sockets, "64 or more"),
+		checkValue(settings.ConnectTimeout > 0, "settings.permissions.connect_timeout", settings.ConnectTimeout, "above 0"),
+		checkValue(settings.IdleClose >= 0, "settings.permissions.idle_close", settings.IdleClose, "0 (never) or above"),
+		checkValue(settings.DrainGrace >= 0, "settings.safety.drain_grace", settings.DrainGrace, "0 (not specified) or above"),
+		checkValue(settings.Streams > 0, "settings.permissions.streams_per_conn", settings.Streams, "1 or more"),
+		checkValue(settings.OpenCap >= 0, "settings.permissions.open_cap", settings.OpenCap, "0 (no limit) or above"))
 }
 
-// Differs names the keys whose values differ in another configuration and that a running controller can't take
-// over. Discovery it can; the seed and what is known are of a start.
+// Differs returns the sorted keys whose values differ in next and that take effect only after a restart. The address of
+// discovery can change at runtime; the seed and the known events matter only at startup, so they are not compared.
 func (c Config) Differs(next Config) (keys []string) {
 	for key, differs := range map[string]bool{
 		"name": c.Name != next.Name, "listen": c.Listen != next.Listen, "limits.cores": c.Cores != next.Cores,
@@ -151,52 +154,56 @@
 	return keys
 }
 
-func override(value *string, with string) {
-	if with != "" {
-		*value = with
+func overrideIfSet(value *string, replacement string) {
+	if replacement != "" {
+		*value = replacement
 	}
 }
 
-func set[T any](value *T, with *T) {
-	if with != nil {
-		*value = *with
+func setIfPresent[T any](value *T, replacement *T) {
+	if replacement != nil {
+		*value = *replacement
 	}
 }
 
+// isAddress reports whether s is an IP address with a port other than 0.
 func isAddress(s string) bool {
-	a, err := netip.ParseAddrPort(s)
-	return err == nil && a.Port() != 0
+	address, err := netip.ParseAddrPort(s)
+	return err == nil && address.Port() != 0
 }
 
-func check(holds bool, key string, value any, allowed string) error {
-	if holds {
+// checkValue returns nil if the value of key is valid, and an error that names the allowed values otherwise.
+func checkValue(valid bool, key string, value any, allowed string) error {
+	if valid {
 		return nil
 	}
-	return faulty(key, value, allowed)
+	return invalidValue(key, value, allowed)
 }
 
-func faulty(key string, value any, allowed string) error {
-	if d, is := value.(time.Duration); is {
-		value = int64(d)
+// invalidValue returns the error for a value that is not allowed. Durations are shown in nanoseconds, as in the file.
+func invalidValue(key string, value any, allowed string) error {
+	if duration, isDuration := value.(time.Duration); isDuration {
+		value = int64(duration)
 	}
 	return fmt.Errorf("%s: %q is not allowed, wanted: %s", key, fmt.Sprint(value), allowed)
 }
 
-// decode names the key of a value that has the wrong form.
-func decode(at string, raw []byte, into any) error {
-	err := json.Unmarshal(raw, into)
-	var form *json.UnmarshalTypeError
+// decode unmarshals JSON into target. The error for a value of the wrong type names its key; parentKey is the key of the object
+// that raw holds, or empty for the whole file.
+func decode(parentKey string, raw []byte, target any) error {
+	err := json.Unmarshal(raw, target)
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &form):
-		key := strings.ToLower(form.Field) // as the file has it: fields without a tag are named by their Go name
-		if at != "" {
-			key = at + "." + key
+	case errors.As(err, &typeErr):
+		key := strings.ToLower(typeErr.Field) // the key as in the file; fields without a tag are reported by their Go name
+		if parentKey != "" {
+			key = parentKey + "." + key
 		}
-		return faulty(key, form.Value, form.Type.String())
-	case err != nil && at == "":
+		return invalidValue(key, typeErr.Value, typeErr.Type.String())
+	case err != nil && parentKey == "":
 		return fmt.Errorf("configuration: %w", err)
 	case err != nil:
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", parentKey, err)
 	}
 	return nil
 }
--- a/config/lang/lexer.go
+++ b/config/lang/lexer.go
@@ -10,24 +10,24 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The kinds of tokens of a line.
+// The types of tokens in a line.
 const (
-	wordToken    lexer.TokenType = iota + 1 // a bare word, which may hold wildcards
-	stringToken                             // in quotes, as it stands in the file
-	figureToken                             // a number with what hangs on it: 12ms, 50/s, 20%, 2core-s
-	markToken                               // = != < <= > >= ( ) [ ] , ..
-	keywordToken                            // and or not in
+	wordToken        lexer.TokenType = iota + 1 // a word without quotes, which may contain wildcards
+	stringToken                                 // a text in quotes, as written in the file
+	quantityToken                               // a number with its unit: 12ms, 50/s, 20%, 2core-s
+	punctuationToken                            // = != < <= > >= ( ) [ ] , ..
+	keywordToken                                // and or not in
 )
 
-// words is the lexer of one line, without its comment.
-type words struct{}
+// lineLexer splits one line without its comment into tokens.
+type lineLexer struct{}
 
-func (words) Symbols() map[string]lexer.TokenType {
+func (lineLexer) Symbols() map[string]lexer.TokenType {
 	return map[string]lexer.TokenType{"EOF": lexer.EOF, "Word": wordToken, "String": stringToken,
-		"Figure": figureToken, "Mark": markToken, "Keyword": keywordToken}
+		"Figure": quantityToken, "Mark": punctuationToken, "Keyword": keywordToken}
 }
 
-func (w words) Lex(name string, r io.Reader) (lexer.Lexer, error) {
+func (w lineLexer) Lex(name string, r io.Reader) (lexer.Lexer, error) {
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return nil, err
@@ -35,113 +35,117 @@
 	return w.LexString(name, string(text))
 }
 
-func (words) LexString(_ string, text string) (lexer.Lexer, error) {
+func (lineLexer) LexString(_ string, text string) (lexer.Lexer, error) {
 	return &scanner{text: text}, nil
 }
 
+// scanner scans one line.
 type scanner struct {
-	text string
-	at   int
-	col  int // characters before at
+	text   string
+	offset int
+	column int // number of characters before offset
 }
 
+// isWordStart reports whether a word without quotes can begin with r. * and ? are wildcards.
 func isWordStart(r rune) bool {
 	return r == '_' || r == '*' || r == '?' || unicode.IsLetter(r)
 }
 
+// isWordPart reports whether a word without quotes can continue with r.
 func isWordPart(r rune) bool {
 	return isWordStart(r) || r == '-' || r == '.' || r >= '0' && r <= '9'
 }
 
-// badText is an error of the lexer, at a column from 0.
-type badText struct {
-	col          int
-	what, wanted string
+// syntaxError is an error of the lexer. The column is counted from 0.
+type syntaxError struct {
+	column            int
+	problem, expected string
 }
 
-func (b *badText) Error() string { return b.what }
+func (e *syntaxError) Error() string { return e.problem }
 
-// Next gives the next token; its column counts characters from 1.
+// Next returns the next token. Its column is counted in characters, from 1.
 func (s *scanner) Next() (lexer.Token, error) {
-	for s.at < len(s.text) && (s.text[s.at] == ' ' || s.text[s.at] == '\t') {
-		s.at, s.col = s.at+1, s.col+1
+	for s.offset < len(s.text) && (s.text[s.offset] == ' ' || s.text[s.offset] == '\t') {
+		s.offset, s.column = s.offset+1, s.column+1
 	}
-	pos := lexer.Position{Offset: s.at, Line: 1, Column: s.col + 1}
-	if s.at == len(s.text) {
+	pos := lexer.Position{Offset: s.offset, Line: 1, Column: s.column + 1}
+	if s.offset == len(s.text) {
 		return lexer.EOFToken(pos), nil
 	}
-	rest := s.text[s.at:]
+	rest := s.text[s.offset:]
 	r, _ := utf8.DecodeRuneInString(rest)
-	take := func(kind lexer.TokenType, size int) (lexer.Token, error) {
-		s.at += size
-		s.col += utf8.RuneCountInString(rest[:size])
+	emit := func(kind lexer.TokenType, size int) (lexer.Token, error) {
+		s.offset += size
+		s.column += utf8.RuneCountInString(rest[:size])
 		return lexer.Token{Type: kind, Value: rest[:size], Pos: pos}, nil
 	}
 	switch {
 	case r == '"':
-		for n := 1; n < len(rest); n++ {
-			switch rest[n] {
+		for index := 1; index < len(rest); index++ {
+			switch rest[index] {
 			case '\\':
-				n++
+				index++
 			case '"':
-				return take(stringToken, n+1)
+				return emit(stringToken, index+1)
 			}
 		}
-		return lexer.Token{}, &badText{s.col, "a text in quotes that does not end", `a closing " on the same line`}
+		return lexer.Token{}, &syntaxError{s.column, "a text in quotes that does not end", `a closing " on the same line`}
 	case r >= '0' && r <= '9':
 		size := 0
 		for size < len(rest) {
-			ch, width := utf8.DecodeRuneInString(rest[size:])
-			if ch == '.' && strings.HasPrefix(rest[size:], "..") {
+			char, width := utf8.DecodeRuneInString(rest[size:])
+			if char == '.' && strings.HasPrefix(rest[size:], "..") {
 				break
 			}
-			if !isWordPart(ch) && ch != '/' && ch != '%' && ch != 'µ' {
+			if !isWordPart(char) && char != '/' && char != '%' && char != 'µ' {
 				break
 			}
 			size += width
 		}
-		return take(figureToken, size)
+		return emit(quantityToken, size)
 	case rest == `\`:
-		return lexer.Token{}, &badText{s.col, "a backslash at the end of the line", "a character behind it, which it takes by its word"}
+		return lexer.Token{}, &syntaxError{s.column, "a backslash at the end of the line",
+			"a character after it, which the backslash makes literal"}
 	case isWordStart(r) || r == '\\':
 		size := 0
 		for size < len(rest) {
-			ch, width := utf8.DecodeRuneInString(rest[size:])
-			if ch == '\\' && size+1 < len(rest) {
+			char, width := utf8.DecodeRuneInString(rest[size:])
+			if char == '\\' && size+1 < len(rest) {
 				_, next := utf8.DecodeRuneInString(rest[size+1:])
 				width += next
-			} else if !isWordPart(ch) || strings.HasPrefix(rest[size:], "..") {
+			} else if !isWordPart(char) || strings.HasPrefix(rest[size:], "..") {
 				break
 			}
 			size += width
 		}
 		switch rest[:size] {
 		case "and", "or", "not", "in":
-			return take(keywordToken, size)
+			return emit(keywordToken, size)
 		}
-		return take(wordToken, size)
+		return emit(wordToken, size)
 	}
-	for _, mark := range [...]string{"..", "!=", "<=", ">=", "=", "<", ">", "(", ")", "[", "]", ","} {
-		if strings.HasPrefix(rest, mark) {
-			return take(markToken, len(mark))
+	for _, punctuation := range [...]string{"..", "!=", "<=", ">=", "=", "<", ">", "(", ")", "[", "]", ","} {
+		if strings.HasPrefix(rest, punctuation) {
+			return emit(punctuationToken, len(punctuation))
 		}
 	}
-	return lexer.Token{}, &badText{s.col, fmt.Sprintf("character %q does not belong here", r),
+	return lexer.Token{}, &syntaxError{s.column, fmt.Sprintf("character %q does not belong here", r),
 		"a word, a text in quotes, or a number with its unit"}
 }
 
-// cutComment splits a line into its code and its comment, which begins with # or ; at the start or after a space,
-// outside of quotes.
+// cutComment splits a line into its code and its comment. A comment begins with # or ; outside of quotes, at the start of the
+// line or after a space or tab.
 func cutComment(line string) (code, comment string) {
 	quoted := false
-	for n := 0; n < len(line); n++ {
-		switch ch := line[n]; {
-		case quoted && ch == '\\':
-			n++
-		case ch == '"':
+	for index := 0; index < len(line); index++ {
+		switch char := line[index]; {
+		case quoted && char == '\\':
+			index++
+		case char == '"':
 			quoted = !quoted
-		case !quoted && (ch == '#' || ch == ';') && (n == 0 || line[n-1] == ' ' || line[n-1] == '\t'):
-			return line[:n], line[n:]
+		case !quoted && (char == '#' || char == ';') && (index == 0 || line[index-1] == ' ' || line[index-1] == '\t'):
+			return line[:index], line[index:]
 		}
 	}
 	return line, ""
--- a/config/settings.go
+++ b/config/settings.go
@@ -11,175 +11,183 @@
 	"yarrowbarrow/logic"
 )
 
-// Settings are the operators' figures: those of the module, and those of the sockets round it.
+// Settings are the values from the settings object: those of the decision module, and those of the connections around it.
 type Settings struct {
 	Logic          logic.Settings
-	Columns        []string // of a load report, in order
+	Columns        []string // columns of a load report, in order
 	ConnectTimeout time.Duration
-	DrainGrace     time.Duration // nothing goes to an engine that drains later than this after it was told; 0: not told
-	IdleClose      time.Duration
-	Streams        int // jobs on one connection to an engine
-	OpenCap        int // jobs open at once, 0 for no limit
-	Probes         bool
-	Notes          bool // engines tell of jobs that run
+	// DrainGrace is how long after an announced drain a job may still be sent to the engine; 0 if not specified.
+	DrainGrace time.Duration
+	IdleClose  time.Duration // idle connections to engines are closed after this time; 0: never
+	Streams    int           // maximum number of jobs on one connection to an engine
+	OpenCap    int           // maximum number of jobs open at once; 0 for no limit
+	Probes     bool
+	Notes      bool // engines report the progress of running jobs
 }
 
-// ReadSettings takes the figures that are read out of the settings object; other keys are passed over.
+// ReadSettings parses the settings object. Unknown keys are ignored.
 func ReadSettings(raw json.RawMessage) (Settings, error) {
-	var c struct {
-		Balancers int `json:"balancers"`
-		Rank      int `json:"rank"`
-		Classes   []struct {
-			Name             string           `json:"name"`
-			Aim              time.Duration    `json:"aim"`
-			Deadline         time.Duration    `json:"deadline"`
-			AimStretch       float64          `json:"aim_stretch"`
-			Gain             float64          `json:"gain"`
-			LateWorth        float64          `json:"late_worth"`
-			Repeat           string           `json:"repeat"`
-			Group            string           `json:"group"`
-			KeyTTL           time.Duration    `json:"key_ttl"`
-			ByArrival        bool             `json:"by_arrival"`
-			AllowedIn        []logic.Location `json:"allowed_in"`
-			MachineTypesOpen []logic.KindName `json:"machine_types_open"`
+	var document struct {
+		Controllers      int `json:"balancers"`
+		ControllerNumber int `json:"rank"`
+		Classes          []struct {
+			Name          string           `json:"name"`
+			LatencyTarget time.Duration    `json:"aim"`
+			Deadline      time.Duration    `json:"deadline"`
+			TargetStretch float64          `json:"aim_stretch"`
+			Value         float64          `json:"gain"`
+			LateValue     float64          `json:"late_worth"`
+			Repeat        string           `json:"repeat"`
+			Group         string           `json:"group"`
+			DedupWindow   time.Duration    `json:"key_ttl"`
+			Ordered       bool             `json:"by_arrival"`
+			Locations     []logic.Location `json:"allowed_in"`
+			Kinds         []logic.KindName `json:"machine_types_open"`
 		} `json:"classes"`
 		Discovery  string `json:"discovery"`
 		FamilyInfo struct {
 			BlockedByLoads []bool        `json:"blocked_by_loads"`
-			GrantCap       float64       `json:"grant_cap"`
+			GrantShare     float64       `json:"grant_cap"`
 			GrantsCount    bool          `json:"grants_count"`
-			HoldsTables    []bool        `json:"holds_tables"`
+			HoldsLoad      []bool        `json:"holds_tables"`
 			KindCores      []float64     `json:"kind_cores"`
 			NotePeriod     time.Duration `json:"note_period"`
 			OutOfMemory    string        `json:"out_of_memory"`
-			RAM            []float64     `json:"ram_of_kind_mb"`
-			RanksHeeded    bool          `json:"ranks_heeded"`
-			WidthByClass   []float64     `json:"width_by_class"`
+			MemoryMB       []float64     `json:"ram_of_kind_mb"`
+			PriorityHeeded bool          `json:"ranks_heeded"`
+			ThreadsByClass []float64     `json:"width_by_class"`
 		} `json:"family_info"`
 		LoadReport struct {
 			Columns []string `json:"columns"`
 		} `json:"load_report"`
-		MachineTypes []logic.KindName `json:"machine_types"`
-		Orgs         []struct {
+		EngineKinds []logic.KindName `json:"machine_types"`
+		Customers   []struct {
 			Name     logic.CustomerID `json:"name"`
-			QuotaRPS float64          `json:"quota_rps"`
+			JobsPerS float64          `json:"quota_rps"`
 		} `json:"orgs"`
-		OverShareWorth float64 `json:"over_share_worth"`
+		OverShareValue float64 `json:"over_share_worth"`
 		Permissions    struct {
-			MaxAttempts   int           `json:"max_attempts"`
-			MaxRetryAfter time.Duration `json:"max_retry_after"`
-			MayCancel     bool          `json:"may_cancel"`
-			RetryAfter    bool          `json:"retry_after"`
-			Connect       time.Duration `json:"connect_timeout"`
-			IdleClose     time.Duration `json:"idle_close"`
-			Streams       int           `json:"streams_per_conn"`
-			OpenCap       int           `json:"open_cap"`
-			Probes        bool          `json:"probes"`
+			MaxAttempts    int           `json:"max_attempts"`
+			MaxRetryAfter  time.Duration `json:"max_retry_after"`
+			MayRecall      bool          `json:"may_cancel"`
+			RetryAfter     bool          `json:"retry_after"`
+			ConnectTimeout time.Duration `json:"connect_timeout"`
+			IdleClose      time.Duration `json:"idle_close"`
+			Streams        int           `json:"streams_per_conn"`
+			OpenCap        int           `json:"open_cap"`
+			Probes         bool          `json:"probes"`
 		} `json:"permissions"`
 		Safety struct {
-			BudgetWindow    time.Duration `json:"budget_window"`
-			Cold            time.Duration `json:"cold"`
-			DrainGrace      time.Duration `json:"drain_grace"`
-			ExtraFloor      float64       `json:"extra_floor"`
-			ExtraPerRequest float64       `json:"extra_per_request"`
-			Fall            time.Duration `json:"fall"`
-			KeyQuiet        time.Duration `json:"key_quiet"`
-			StartCapacity   float64       `json:"start_capacity"`
-			TipMultiple     float64       `json:"tip_multiple"`
+			BudgetWindow  time.Duration `json:"budget_window"`
+			Cold          time.Duration `json:"cold"`
+			DrainGrace    time.Duration `json:"drain_grace"`
+			BudgetFree    float64       `json:"extra_floor"`
+			BudgetShare   float64       `json:"extra_per_request"`
+			Fall          time.Duration `json:"fall"`
+			KeyQuiet      time.Duration `json:"key_quiet"`
+			StartCapacity float64       `json:"start_capacity"`
+			FallMultiple  float64       `json:"tip_multiple"`
 		} `json:"safety"`
-		Tick time.Duration  `json:"tick"`
-		Zone logic.Location `json:"zone"`
+		Tick     time.Duration  `json:"tick"`
+		Location logic.Location `json:"zone"`
 	}
-	if err := decode("settings", raw, &c); err != nil {
+	if err := decode("settings", raw, &document); err != nil {
 		return Settings{}, err
 	}
-	s := logic.Settings{
-		Controllers: c.Balancers, Number: c.Rank, Location: c.Zone, OverShareValue: c.OverShareWorth,
-		ListOnRequest: c.Discovery == "on_request", MayRecall: c.Permissions.MayCancel,
-		GrantsCount: c.FamilyInfo.GrantsCount, PriorityHeeded: c.FamilyInfo.RanksHeeded,
-		GrantShare: c.FamilyInfo.GrantCap, OverGrantsPage: c.FamilyInfo.OutOfMemory == "swap",
-		MaxAttempts: c.Permissions.MaxAttempts, Tick: c.Tick,
-		StartCapacity: c.Safety.StartCapacity, Cold: c.Safety.Cold, FallMultiple: c.Safety.TipMultiple,
-		Fall: c.Safety.Fall, KeyQuiet: c.Safety.KeyQuiet, BudgetWindow: c.Safety.BudgetWindow,
-		BudgetFree: c.Safety.ExtraFloor, BudgetShare: c.Safety.ExtraPerRequest,
+	logicSettings := logic.Settings{
+		Controllers: document.Controllers, Number: document.ControllerNumber, Location: document.Location,
+		OverShareValue: document.OverShareValue,
+		ListOnRequest:  document.Discovery == "on_request", MayRecall: document.Permissions.MayRecall,
+		GrantsCount: document.FamilyInfo.GrantsCount, PriorityHeeded: document.FamilyInfo.PriorityHeeded,
+		GrantShare: document.FamilyInfo.GrantShare, OverGrantsPage: document.FamilyInfo.OutOfMemory == "swap",
+		MaxAttempts: document.Permissions.MaxAttempts, Tick: document.Tick,
+		StartCapacity: document.Safety.StartCapacity, Cold: document.Safety.Cold, FallMultiple: document.Safety.FallMultiple,
+		Fall: document.Safety.Fall, KeyQuiet: document.Safety.KeyQuiet, BudgetWindow: document.Safety.BudgetWindow,
+		BudgetFree: document.Safety.BudgetFree, BudgetShare: document.Safety.BudgetShare,
 	}
-	if c.Permissions.RetryAfter {
-		s.MaxComeBack = c.Permissions.MaxRetryAfter
+	if document.Permissions.RetryAfter {
+		logicSettings.MaxComeBack = document.Permissions.MaxRetryAfter
 	}
-	for n, class := range c.Classes {
+	for index, class := range document.Classes {
 		repeat, known := map[string]logic.Repeat{"retryable": logic.Idempotent, "dedup": logic.Keyed,
 			"fragile": logic.NonIdempotent}[class.Repeat]
 		if !known {
-			return Settings{}, faulty(fmt.Sprintf("settings.classes[%d].repeat", n), class.Repeat,
+			return Settings{}, invalidValue(fmt.Sprintf("settings.classes[%d].repeat", index), class.Repeat,
 				"retryable, dedup or fragile")
 		}
-		t := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.Aim, TargetStretch: class.AimStretch,
-			Deadline: class.Deadline, Value: class.Gain, LateValue: class.LateWorth, Repeat: repeat,
+		logicClass := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.LatencyTarget, TargetStretch: class.TargetStretch,
+			Deadline: class.Deadline, Value: class.Value, LateValue: class.LateValue, Repeat: repeat,
 			Group:  map[string]logic.Group{"zone": logic.GroupLocation, "cell": logic.GroupCell}[class.Group],
-			Window: class.KeyTTL, Ordered: class.ByArrival, Locations: class.AllowedIn,
-			Kinds: class.MachineTypesOpen, Threads: at(c.FamilyInfo.WidthByClass, n, 1),
-			HoldsLoad: at(c.FamilyInfo.HoldsTables, n, false), StandsBy: at(c.FamilyInfo.BlockedByLoads, n, false)}
-		s.Classes = append(s.Classes, t)
+			Window: class.DedupWindow, Ordered: class.Ordered, Locations: class.Locations,
+			Kinds: class.Kinds, Threads: valueAt(document.FamilyInfo.ThreadsByClass, index, 1),
+			HoldsLoad: valueAt(document.FamilyInfo.HoldsLoad, index, false),
+			StandsBy:  valueAt(document.FamilyInfo.BlockedByLoads, index, false)}
+		logicSettings.Classes = append(logicSettings.Classes, logicClass)
 	}
-	for n, kind := range c.MachineTypes {
-		s.Kinds = append(s.Kinds, logic.EngineKind{Name: kind, Cores: at(c.FamilyInfo.KindCores, n, 1),
-			MemoryMB: at(c.FamilyInfo.RAM, n, 0)})
+	for index, kind := range document.EngineKinds {
+		logicSettings.Kinds = append(logicSettings.Kinds, logic.EngineKind{Name: kind,
+			Cores: valueAt(document.FamilyInfo.KindCores, index, 1), MemoryMB: valueAt(document.FamilyInfo.MemoryMB, index, 0)})
 	}
-	for _, org := range c.Orgs {
-		s.Customers = append(s.Customers, logic.Customer{Name: org.Name, JobsPerS: org.QuotaRPS})
+	for _, org := range document.Customers {
+		logicSettings.Customers = append(logicSettings.Customers,
+			logic.Customer{Name: org.Name, JobsPerS: org.JobsPerS})
 	}
-	return Settings{Logic: s, Columns: c.LoadReport.Columns, ConnectTimeout: c.Permissions.Connect,
-		IdleClose: c.Permissions.IdleClose, Streams: c.Permissions.Streams, OpenCap: c.Permissions.OpenCap,
-		Probes: c.Permissions.Probes, Notes: c.FamilyInfo.NotePeriod > 0, DrainGrace: c.Safety.DrainGrace}, nil
+	return Settings{Logic: logicSettings, Columns: document.LoadReport.Columns, ConnectTimeout: document.Permissions.ConnectTimeout,
+		IdleClose: document.Permissions.IdleClose, Streams: document.Permissions.Streams, OpenCap: document.Permissions.OpenCap,
+		Probes: document.Permissions.Probes, Notes: document.FamilyInfo.NotePeriod > 0, DrainGrace: document.Safety.DrainGrace}, nil
 }
 
-// at is the n-th value of a list that may be shorter, or absent.
-func at[T any](list []T, n int, other T) T {
-	if n < len(list) {
-		return list[n]
+// valueAt returns list[index], or fallback if the list is shorter or absent.
+func valueAt[T any](list []T, index int, fallback T) T {
+	if index < len(list) {
+		return list[index]
 	}
-	return other
+	return fallback
 }
 
-// limits has decide/limit speak the module's types.
-type limits struct{ *limit.Limits }
+// limitsAdapter adapts the limits of decide/limit to the types of package logic.
+type limitsAdapter struct{ *limit.Limits }
 
-func (l limits) Within(now time.Duration, c logic.CustomerID) bool {
-	return l.Limits.Within(now, limit.CustomerID(c))
+func (l limitsAdapter) Within(now time.Duration, customer logic.CustomerID) bool {
+	return l.Limits.Within(now, limit.CustomerID(customer))
 }
 
-func (l limits) Engine(cores float64) logic.EngineLimit { return l.Limits.Engine(cores) }
+func (l limitsAdapter) Engine(cores float64) logic.EngineLimit { return l.Limits.Engine(cores) }
 
-func newLimits(s logic.Settings) limits {
-	set := limit.Settings{Controllers: s.Controllers, Number: s.Number, BudgetWindow: s.BudgetWindow, BudgetFree: s.BudgetFree,
-		BudgetShare: s.BudgetShare, StartCapacity: s.StartCapacity, Cold: s.Cold, FallMultiple: s.FallMultiple, Fall: s.Fall}
-	for _, c := range s.Customers {
-		set.Customers = append(set.Customers, limit.Customer{Name: limit.CustomerID(c.Name), JobsPerS: c.JobsPerS})
+func newLimits(settings logic.Settings) limitsAdapter {
+	limitSettings := limit.Settings{Controllers: settings.Controllers, Number: settings.Number, BudgetWindow: settings.BudgetWindow,
+		BudgetFree: settings.BudgetFree, BudgetShare: settings.BudgetShare, StartCapacity: settings.StartCapacity,
+		Cold: settings.Cold, FallMultiple: settings.FallMultiple, Fall: settings.Fall}
+	for _, customer := range settings.Customers {
+		limitSettings.Customers = append(limitSettings.Customers,
+			limit.Customer{Name: limit.CustomerID(customer.Name), JobsPerS: customer.JobsPerS})
 	}
-	return limits{limit.New(set)}
+	return limitsAdapter{limit.New(limitSettings)}
 }
 
-// slowness has decide/thin speak the module's types.
-type slowness struct{ *thin.Book }
+// slownessAdapter adapts the estimates of decide/thin to the types of package logic.
+type slownessAdapter struct{ *thin.Book }
 
-func (s slowness) Engine(location logic.Location, kind logic.KindName) logic.EngineSlowness {
+func (s slownessAdapter) Engine(location logic.Location, kind logic.KindName) logic.EngineSlowness {
 	return s.Book.Engine(thin.Location(location), thin.Kind(kind))
 }
 
-// Module makes the decision module with subsets dealt by decide/spread, the limits of decide/limit, and what decide/thin makes
-// of few answers.
-func Module(host logic.Host, s logic.Settings, seed int64) *logic.Controller {
-	s.Limits, s.Slowness = newLimits(s), slowness{thin.New()}
-	s.Order = func(up []logic.Candidate, size int) []logic.Candidate {
-		list, at := make([]spread.Engine, len(up)), make(map[spread.EngineID]logic.Candidate, len(up))
-		for n, e := range up {
-			list[n] = spread.Engine{ID: spread.EngineID(e.ID), Location: spread.Location(e.Location), Capacity: e.Cores}
-			at[list[n].ID] = e
+// Module creates the decision module. decide/spread assigns its subset of engines, decide/limit enforces its limits, and
+// decide/thin estimates the slowness of engines from few answers.
+func Module(host logic.Host, settings logic.Settings, seed int64) *logic.Controller {
+	settings.Limits, settings.Slowness = newLimits(settings), slownessAdapter{thin.New()}
+	settings.Order = func(candidates []logic.Candidate, size int) []logic.Candidate {
+		engines, candidateByID := make([]spread.Engine, len(candidates)),
+			make(map[spread.EngineID]logic.Candidate, len(candidates))
+		for index, candidate := range candidates {
+			engines[index] = spread.Engine{ID: spread.EngineID(candidate.ID), Location: spread.Location(candidate.Location),
+				Capacity: candidate.Cores}
+			candidateByID[engines[index].ID] = candidate
 		}
-		for n, id := range spread.Order(list, s.Controllers, s.Number, size) {
-			up[n] = at[id]
+		for index, id := range spread.Order(engines, settings.Controllers, settings.Number, size) {
+			candidates[index] = candidateByID[id]
 		}
-		return up
+		return candidates
 	}
-	return logic.New(host, s, seed)
+	return logic.New(host, settings, seed)
 }
