--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,4 +1,5 @@
-// Package frame reads and writes the frames between clients and controllers, over bytes alone.
+// Package frame encodes and decodes the frames between clients and controllers, in byte slices and without I/O. A frame is its
+// length in four bytes, its type in one, its stream in four, and a payload. All integers are big-endian.
 package frame
 
 import (
@@ -7,33 +8,34 @@
 	"fmt"
 )
 
-// The types of frames.
+// The types of frames, and the size in bytes of what precedes the payload.
 const (
-	Job      = 100
-	Answer   = 101
-	Gone     = 102
-	Ready    = 110
-	IsReady  = 111
-	NoMore   = 120
+	Job      = 100 // client: a job
+	Answer   = 101 // controller: the outcome of a job
+	Gone     = 102 // client: no longer waits for a job
+	Ready    = 110 // client: asks whether jobs are accepted
+	IsReady  = 111 // controller: answers Ready
+	NoMore   = 120 // controller: asks the client to send no more jobs on this connection
 	HeadSize = 9
 )
 
-// The codes of an answer.
+// The outcomes in an Answer frame.
 const (
 	Done     = 1
 	Rejected = 2
 	Failed   = 3
 )
 
-// The least and most that a frame's length may say.
+// Limits of a frame's length field, in bytes. The length counts what follows the field: type, stream and payload.
 const (
 	MinLength = 5
 	MaxLength = 262144
 )
 
-var errLength = errors.New("length out of range")
+var errLength = errors.New("frame length out of range")
 
-// Next splits the first frame off data. Its size is 0 while more bytes are needed; the payload is part of data.
+// Next decodes the first frame in data. size is the number of bytes that the frame takes, or 0 while more bytes are needed. payload
+// shares memory with data.
 func Next(data []byte) (kind byte, stream uint32, payload []byte, size int, err error) {
 	if len(data) < 4 {
 		return
@@ -48,38 +50,39 @@
 	return data[4], binary.BigEndian.Uint32(data[5:]), data[HeadSize:size], size, nil
 }
 
-var errFields = errors.New("fields end early")
+var errTruncatedFields = errors.New("payload ends within its fields")
 
-// Fields hands over each field of a payload and gives what follows them, the body; all are parts of the payload.
-func Fields(payload []byte, each func(name, value []byte)) (body []byte, err error) {
+// Fields calls visit with each field of a payload and returns the body, which follows the fields. All of them share memory with
+// payload.
+func Fields(payload []byte, visit func(name, value []byte)) (body []byte, err error) {
 	if len(payload) == 0 {
-		return nil, errFields
+		return nil, errTruncatedFields
 	}
 	count, rest := int(payload[0]), payload[1:]
 	for range count {
 		if len(rest) < 1 || len(rest) < 3+int(rest[0]) {
-			return nil, errFields
+			return nil, errTruncatedFields
 		}
 		name := rest[1 : 1+rest[0]]
 		rest = rest[1+rest[0]:]
 		size := int(binary.BigEndian.Uint16(rest))
 		if len(rest) < 2+size {
-			return nil, errFields
+			return nil, errTruncatedFields
 		}
-		each(name, rest[2:2+size])
+		visit(name, rest[2:2+size])
 		rest = rest[2+size:]
 	}
 	return rest, nil
 }
 
-// AppendHead writes what goes before a payload of that size.
-func AppendHead(to []byte, kind byte, stream uint32, payload int) []byte {
-	to = binary.BigEndian.AppendUint32(to, uint32(MinLength+payload))
-	return binary.BigEndian.AppendUint32(append(to, kind), stream)
+// AppendHead appends what precedes a payload of payloadBytes bytes: length, type and stream.
+func AppendHead(dst []byte, kind byte, stream uint32, payloadBytes int) []byte {
+	dst = binary.BigEndian.AppendUint32(dst, uint32(MinLength+payloadBytes))
+	return binary.BigEndian.AppendUint32(append(dst, kind), stream)
 }
 
-// AppendField writes one field; the count before the first is the caller's.
-func AppendField(to []byte, name, value string) []byte {
-	to = append(append(to, byte(len(name))), name...)
-	return append(binary.BigEndian.AppendUint16(to, uint16(len(value))), value...)
+// AppendField appends one field. The caller writes the number of fields, one byte, before the first.
+func AppendField(dst []byte, name, value string) []byte {
+	dst = append(append(dst, byte(len(name))), name...)
+	return append(binary.BigEndian.AppendUint16(dst, uint16(len(value))), value...)
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -7,14 +7,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func job(stream uint32, body string) []byte {
+// jobFrame returns a Job frame with two fields and a body.
+func jobFrame(stream uint32, body string) []byte {
 	payload := AppendField(AppendField([]byte{2}, "class", "quick"), "wait", "1500")
 	payload = append(payload, body...)
 	return append(AppendHead(nil, Job, stream, len(payload)), payload...)
 }
 
 func TestNext(t *testing.T) {
-	data := append(job(7, "select 1"), job(8, "")...)
+	data := append(jobFrame(7, "select 1"), jobFrame(8, "")...)
 	var got []string
 	for len(data) > 0 {
 		kind, stream, payload, size, err := Next(data)
@@ -35,21 +36,21 @@
 }
 
 func TestFaulty(t *testing.T) {
-	for name, data := range map[string][]byte{"short length": {0, 0, 0, 4, 1, 0, 0, 0}, "long length": {0, 4, 0, 1}} {
+	for name, data := range map[string][]byte{"length below the minimum": {0, 0, 0, 4, 1, 0, 0, 0}, "length above the maximum": {0, 4, 0, 1}} {
 		if _, _, _, size, err := Next(data); err == nil || size != 0 {
 			t.Errorf("%s: size %d, %v", name, size, err)
 		}
 	}
 	for _, payload := range [][]byte{{}, {1}, {1, 2, 'a'}, {1, 1, 'a', 0}, {1, 1, 'a', 0, 2, 'x'}} {
 		if _, err := Fields(payload, func(_, _ []byte) {}); err == nil {
-			t.Errorf("%v: taken", payload)
+			t.Errorf("%v: accepted", payload)
 		}
 	}
 }
 
-// FuzzNext: whatever comes, a part of a frame is never taken for one, and what is taken lies within the data.
+// FuzzNext checks that Next accepts no incomplete frame, and that payload and body are the expected parts of the input.
 func FuzzNext(f *testing.F) {
-	f.Add(job(1, "select * from sales_17.orders"))
+	f.Add(jobFrame(1, "select * from sales_17.orders"))
 	f.Add([]byte{0, 0, 0, 5, 110, 0, 0, 0, 1, 0, 0, 0, 6})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, _, payload, size, err := Next(data)
@@ -57,13 +58,13 @@
 			return
 		}
 		if _, _, _, early, err := Next(data[:size-1]); early != 0 || err != nil {
-			t.Fatal("taken early", early, err)
+			t.Fatal("frame accepted before it was complete", early, err)
 		}
 		if !bytes.Equal(payload, data[HeadSize:size]) {
-			t.Fatal("payload moved")
+			t.Fatal("payload is not what follows the head")
 		}
 		if body, err := Fields(payload, func(_, _ []byte) {}); err == nil && !bytes.HasSuffix(payload, body) {
-			t.Fatal("body moved")
+			t.Fatal("body is not the end of the payload")
 		}
 	})
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,4 +1,4 @@
-// Package http1 writes the requests and reads the answers of discovery, over bytes alone.
+// Package http1 encodes HTTP/1.1 requests to the discovery service and decodes its responses, in byte slices and without I/O.
 package http1
 
 import (
@@ -8,75 +8,77 @@
 	"strings"
 )
 
-// The most bytes of a head and of a body that are taken. An engine in a list is some 200 bytes: there is room for all changes of
-// 3,200 engines that each changed a dozen times, which is what a reader that starts from nothing gets.
+// Limits in bytes on the head and the body of a response. An engine in a list takes about 200 bytes: MaxBody has room for 3,200
+// engines that each changed a dozen times, as a reader that starts at the first event receives all these changes.
 const (
 	MaxHead = 16 << 10
 	MaxBody = 8 << 20
 )
 
 var (
-	errHead  = errors.New("faulty head")
-	errBody  = errors.New("faulty body")
-	errLimit = errors.New("answer too large")
-	errEarly = errors.New("connection closed early")
+	errHead        = errors.New("malformed HTTP response head")
+	errBody        = errors.New("malformed chunked HTTP body")
+	errTooLarge    = errors.New("HTTP response exceeds the size limit")
+	errClosedEarly = errors.New("connection closed before the end of the HTTP response")
 )
 
-// AppendGet writes a request without a body.
-func AppendGet(to []byte, host, target string) []byte {
-	return append(to, "GET "+target+" HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"...)
+// AppendGet appends a GET request for target.
+func AppendGet(dst []byte, host, target string) []byte {
+	return append(dst, "GET "+target+" HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"...)
 }
 
-// Progress is how far the chunks of an answer that is not whole have been looked through. The zero value is none.
-type Progress struct{ at, length int }
+// Progress records how far the chunks of an incomplete response have been parsed, and the bytes of body up to there, so that Next
+// does not parse them again. The zero value is the start of a response.
+type Progress struct{ offset, bodyBytes int }
 
-// mostInterim answers may come before the real one.
-const mostInterim = 16
+// maxResponses bounds the responses to one request: the interim (1xx) ones and the final one together.
+const maxResponses = 16
 
-// Next reads the first answer of data; closed tells that no more bytes come. Its size is 0 while more are needed: it is called again
-// with the same bytes and more, and the same progress. last tells that the connection serves no further request. An answer, with all
-// that frames its body, takes at most MaxHead and most bytes.
-func Next(data []byte, closed bool, most int, seen *Progress) (status int, body []byte, size int, last bool, err error) {
-	before := 0
-	for range mostInterim {
-		status, body, size, last, err = next(data[before:], closed, most-before, seen)
+// Next decodes the first final response in data, after any interim (1xx) ones; closed tells that no more bytes will follow. size is
+// the number of bytes decoded, or 0 while more bytes are needed: the caller then calls Next again with the same bytes and those that
+// arrived since, and the same progress. closeAfter tells that the connection serves no further request. A response, including
+// the framing of its body and all interim responses before it, may take at most MaxHead+maxBodyBytes bytes.
+func Next(data []byte, closed bool, maxBodyBytes int, progress *Progress) (status int, body []byte, size int, closeAfter bool, err error) {
+	consumed := 0
+	for range maxResponses {
+		status, body, size, closeAfter, err = next(data[consumed:], closed, maxBodyBytes-consumed, progress)
 		if err != nil || size == 0 {
-			return status, body, 0, last, err
+			return status, body, 0, closeAfter, err
 		}
-		before += size
+		consumed += size
 		if status/100 != 1 {
-			*seen = Progress{}
-			return status, body, before, last, nil
+			*progress = Progress{}
+			return status, body, consumed, closeAfter, nil
 		}
 	}
 	return 0, nil, 0, true, errHead
 }
 
-// next reads one answer, an interim one too.
-func next(data []byte, closed bool, most int, seen *Progress) (status int, body []byte, size int, last bool, err error) {
-	if len(data) > MaxHead+most {
-		return 0, nil, 0, true, errLimit
+// next decodes one response, interim or final.
+func next(data []byte, closed bool, maxBodyBytes int, progress *Progress) (status int, body []byte, size int, closeAfter bool, err error) {
+	if len(data) > MaxHead+maxBodyBytes {
+		return 0, nil, 0, true, errTooLarge
 	}
-	more := func() (int, []byte, int, bool, error) {
+	incomplete := func() (int, []byte, int, bool, error) {
 		if closed && len(data) > 0 {
-			return 0, nil, 0, true, errEarly
+			return 0, nil, 0, true, errClosedEarly
 		}
 		return 0, nil, 0, false, nil
 	}
-	end := bytes.Index(data, []byte("\r\n\r\n"))
-	if end > MaxHead || end < 0 && len(data) > MaxHead {
-		return 0, nil, 0, true, errLimit
-	} else if end < 0 {
-		return more()
+	headEnd := bytes.Index(data, []byte("\r\n\r\n"))
+	if headEnd > MaxHead || headEnd < 0 && len(data) > MaxHead {
+		return 0, nil, 0, true, errTooLarge
+	} else if headEnd < 0 {
+		return incomplete()
 	}
-	lines := strings.Split(string(data[:end]), "\r\n")
-	rest := data[end+4:]
-	version, code, _ := strings.Cut(lines[0], " ")
-	code, _, _ = strings.Cut(code, " ")
-	if status, err = strconv.Atoi(code); err != nil || len(code) != 3 || !strings.HasPrefix(version, "HTTP/1.") {
+	lines := strings.Split(string(data[:headEnd]), "\r\n")
+	afterHead := data[headEnd+4:]
+	version, statusCode, _ := strings.Cut(lines[0], " ")
+	statusCode, _, _ = strings.Cut(statusCode, " ")
+	if status, err = strconv.Atoi(statusCode); err != nil || len(statusCode) != 3 || !strings.HasPrefix(version, "HTTP/1.") {
 		return 0, nil, 0, true, errHead
 	}
-	last = version == "HTTP/1.0"
+	closeAfter = version == "HTTP/1.0"
 	length, chunked := -1, false
 	for _, line := range lines[1:] {
 		name, value, found := strings.Cut(line, ":")
@@ -86,108 +88,110 @@
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || length >= 0 && length != int(n) {
+			parsed, err := strconv.ParseUint(value, 10, 31)
+			if err != nil || length >= 0 && length != int(parsed) {
 				return 0, nil, 0, true, errHead
 			}
-			length = int(n)
+			length = int(parsed)
 		case "transfer-encoding":
 			if chunked = strings.EqualFold(value, "chunked"); !chunked {
 				return 0, nil, 0, true, errHead
 			}
 		case "connection":
-			last = strings.EqualFold(value, "close") || last && !strings.EqualFold(value, "keep-alive")
+			closeAfter = strings.EqualFold(value, "close") || closeAfter && !strings.EqualFold(value, "keep-alive")
 		}
 	}
-	head := end + 4
+	headBytes := headEnd + 4
 	switch {
-	case status/100 == 1 || status == 204 || status == 304: // behind an interim answer the real one follows
-		return status, nil, head, last, nil
+	case status/100 == 1 || status == 204 || status == 304: // these have no body; the final response follows an interim one
+		return status, nil, headBytes, closeAfter, nil
 	case chunked:
-		body, size, err = chunks(rest, most, seen)
+		body, size, err = readChunked(afterHead, maxBodyBytes, progress)
 		if err == nil && size == 0 {
-			return more()
+			return incomplete()
 		}
-		return status, body, head + size, last || err != nil, err
-	case length > most || length < 0 && len(rest) > most:
-		return 0, nil, 0, true, errLimit
-	case length >= 0 && len(rest) < length:
-		return more()
+		return status, body, headBytes + size, closeAfter || err != nil, err
+	case length > maxBodyBytes || length < 0 && len(afterHead) > maxBodyBytes:
+		return 0, nil, 0, true, errTooLarge
+	case length >= 0 && len(afterHead) < length:
+		return incomplete()
 	case length >= 0:
-		return status, rest[:length], head + length, last, nil
-	case closed: // a body without a length ends with the connection
-		return status, rest, len(data), true, nil
+		return status, afterHead[:length], headBytes + length, closeAfter, nil
+	case closed: // a body without a length ends where the connection is closed
+		return status, afterHead, len(data), true, nil
 	}
 	return 0, nil, 0, false, nil
 }
 
-// chunks puts a chunked body together; size is 0 while more bytes are needed.
-func chunks(data []byte, most int, seen *Progress) (body []byte, size int, err error) {
+// readChunked decodes a chunked body. size is the number of encoded bytes, or 0 while more bytes are needed.
+func readChunked(data []byte, maxBodyBytes int, progress *Progress) (body []byte, size int, err error) {
 	for {
-		from, n, err := chunk(data, seen.at)
-		if err != nil || from == 0 {
+		start, chunkBytes, err := readChunkHeader(data, progress.offset)
+		if err != nil || start == 0 {
 			return nil, 0, err
 		}
-		if seen.length+n > most {
-			return nil, 0, errLimit
+		if progress.bodyBytes+chunkBytes > maxBodyBytes {
+			return nil, 0, errTooLarge
 		}
-		if n == 0 {
-			end, err := trailers(data, from)
+		if chunkBytes == 0 {
+			end, err := skipTrailers(data, start)
 			if err != nil || end == 0 {
 				return nil, 0, err
 			}
-			return join(data, seen), end, nil
+			return joinChunks(data, progress), end, nil
 		}
-		end := from + n + 2
+		end := start + chunkBytes + 2
 		if len(data) < end {
 			return nil, 0, nil
 		}
 		if string(data[end-2:end]) != "\r\n" {
 			return nil, 0, errBody
 		}
-		seen.at, seen.length = end, seen.length+n
+		progress.offset, progress.bodyBytes = end, progress.bodyBytes+chunkBytes
 	}
 }
 
-// join gives the bytes of all chunks that were looked through.
-func join(data []byte, seen *Progress) []byte {
-	body := make([]byte, 0, seen.length)
-	for at := 0; at < seen.at; {
-		from, n, _ := chunk(data, at)
-		body = append(body, data[from:from+n]...)
-		at = from + n + 2
+// joinChunks returns the content of all chunks up to progress.offset.
+func joinChunks(data []byte, progress *Progress) []byte {
+	body := make([]byte, 0, progress.bodyBytes)
+	for offset := 0; offset < progress.offset; {
+		start, chunkBytes, _ := readChunkHeader(data, offset)
+		body = append(body, data[start:start+chunkBytes]...)
+		offset = start + chunkBytes + 2
 	}
 	return body
 }
 
-// chunk reads the line before a chunk: where its bytes begin, 0 while the line is not whole, and how many they are.
-func chunk(data []byte, at int) (from, length int, err error) {
-	line := bytes.Index(data[at:], []byte("\r\n"))
-	if line < 0 && len(data)-at > MaxHead {
+// readChunkHeader reads the size line of a chunk. start is the position of the chunk's content, or 0 while the line is
+// incomplete; length is the size of the content in bytes.
+func readChunkHeader(data []byte, offset int) (start, length int, err error) {
+	lineBytes := bytes.Index(data[offset:], []byte("\r\n"))
+	if lineBytes < 0 && len(data)-offset > MaxHead {
 		return 0, 0, errBody
-	} else if line < 0 {
+	} else if lineBytes < 0 {
 		return 0, 0, nil
 	}
-	digits, _, _ := bytes.Cut(data[at:at+line], []byte(";"))
-	n, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
+	digits, _, _ := bytes.Cut(data[offset:offset+lineBytes], []byte(";"))
+	parsed, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
 	if err != nil {
 		return 0, 0, errBody
 	}
-	return at + line + 2, int(n), nil
+	return offset + lineBytes + 2, int(parsed), nil
 }
 
-// trailers passes over the lines behind the last chunk, up to an empty one, and gives the end of it; 0 while it is not here.
-func trailers(data []byte, from int) (end int, err error) {
-	for at := from; ; {
-		line := bytes.Index(data[at:], []byte("\r\n"))
-		if at-from > MaxHead || line < 0 && len(data)-from > MaxHead {
+// skipTrailers skips the trailer lines after the last chunk. end is the position after the empty line that ends them, or 0 while
+// it has not arrived.
+func skipTrailers(data []byte, start int) (end int, err error) {
+	for offset := start; ; {
+		lineBytes := bytes.Index(data[offset:], []byte("\r\n"))
+		if offset-start > MaxHead || lineBytes < 0 && len(data)-start > MaxHead {
 			return 0, errBody
-		} else if line < 0 {
+		} else if lineBytes < 0 {
 			return 0, nil
 		}
-		at += line + 2
-		if line == 0 {
-			return at, nil
+		offset += lineBytes + 2
+		if lineBytes == 0 {
+			return offset, nil
 		}
 	}
 }
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -1,4 +1,4 @@
-// Package listing reads what discovery tells of the engines.
+// Package listing decodes the membership events of the discovery service: which engines there are and in which state.
 package listing
 
 import (
@@ -10,129 +10,136 @@
 	"yarrowbarrow/logic"
 )
 
-var states = map[string]logic.Health{"active": logic.Up, "leaving": logic.Draining, "left": logic.Gone}
+// healthByName maps the health names of the discovery service to those of package logic.
+var healthByName = map[string]logic.Health{"active": logic.Up, "leaving": logic.Draining, "left": logic.Gone}
 
-// Events are what an answer of discovery holds, or what a configuration knows.
+// Events is the decoded event list of one discovery response, or of the engines known to a configuration.
 type Events struct {
-	last   int64
-	events []change
+	newest int64 // number of the newest event that the sender has
+	events []event
 }
 
-type change struct {
-	N       int64 `json:"n"`
+// event is one entry of the event list. Members is nil for kinds of events that are not known here; they are skipped.
+type event struct {
+	Number  int64 `json:"n"`
 	Members *struct {
-		Whole bool  `json:"whole"`
-		Hosts hosts `json:"hosts"`
+		Snapshot bool          `json:"whole"`
+		Engines  engineEntries `json:"hosts"`
 	} `json:"members"`
 }
 
-// events and hosts are read one by one, so that a faulty text ends at its first fault, whatever its length.
+// events and engineEntries are decoded element by element, so that decoding of an invalid input stops at the first error,
+// however long the input is.
 type (
-	events []change
-	hosts  []host
+	events        []event
+	engineEntries []engineEntry
 )
 
-func (all *events) UnmarshalJSON(raw []byte) error {
-	return elements(raw, func(e change) error {
-		*all = append(*all, e)
+func (list *events) UnmarshalJSON(raw []byte) error {
+	return decodeArray(raw, func(decoded event) error {
+		*list = append(*list, decoded)
 		return nil
 	})
 }
 
-func (all *hosts) UnmarshalJSON(raw []byte) error {
-	return elements(raw, func(h host) error {
-		if _, known := states[h.Health]; !known || h.Host == "" {
-			return fmt.Errorf("host %q: health %q is not known", h.Host, h.Health)
+func (list *engineEntries) UnmarshalJSON(raw []byte) error {
+	return decodeArray(raw, func(decoded engineEntry) error {
+		if _, known := healthByName[decoded.Health]; !known || decoded.ID == "" {
+			return fmt.Errorf("engine %q: name is empty or health %q is unknown", decoded.ID, decoded.Health)
 		}
-		*all = append(*all, h)
+		*list = append(*list, decoded)
 		return nil
 	})
 }
 
-// elements hands over those of an array; null has none.
-func elements[T any](raw []byte, each func(T) error) error {
-	from := json.NewDecoder(bytes.NewReader(raw))
-	if begin, err := from.Token(); err != nil || begin == nil {
+// decodeArray decodes the elements of a JSON array one by one and calls add with each. It treats null as an empty array.
+func decodeArray[T any](raw []byte, add func(T) error) error {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	if opening, err := decoder.Token(); err != nil || opening == nil {
 		return err
 	}
-	for from.More() {
-		var one T
-		if err := from.Decode(&one); err != nil {
+	for decoder.More() {
+		var element T
+		if err := decoder.Decode(&element); err != nil {
 			return err
 		}
-		if err := each(one); err != nil {
+		if err := add(element); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-type host struct {
-	Host   logic.EngineID `json:"host"`
-	Dial   string         `json:"dial"`
-	Site   logic.Location `json:"site"`
-	Class  logic.KindName `json:"class"`
-	Block  logic.Cell     `json:"block"`
-	Health string         `json:"health"`
-	Share  float64        `json:"share"`
-	BornMS int64          `json:"born_ms"`
+// engineEntry is the state of one engine within an event.
+type engineEntry struct {
+	ID            logic.EngineID `json:"host"`
+	Address       string         `json:"dial"`
+	Location      logic.Location `json:"site"`
+	Kind          logic.KindName `json:"class"`
+	Cell          logic.Cell     `json:"block"`
+	Health        string         `json:"health"`
+	Weight        float64        `json:"share"`
+	OnlineSinceMS int64          `json:"born_ms"`
 }
 
-// Parse reads a text with at most so many events, and hosts in all of them. A faulty one is refused as a whole.
-func Parse(raw []byte, most int) (Events, error) {
-	var answer struct {
-		N      int64  `json:"n"`
+// Parse decodes a discovery response. It accepts at most maxEntries events, and at most maxEntries engines in all events
+// together. An input with any invalid element is rejected as a whole.
+func Parse(raw []byte, maxEntries int) (Events, error) {
+	var response struct {
+		Newest int64  `json:"n"`
 		Events events `json:"events"`
 	}
-	if n := bytes.Count(raw, []byte("{")); n > 3*most+1 { // an object for each event, its members and each host, and one round all
-		return Events{}, fmt.Errorf("%d objects, of at most %d events and hosts", n, most)
+	if objects := bytes.Count(raw, []byte("{")); objects > 3*maxEntries+1 { // one each per event, per members object and per engine, and the outermost
+		return Events{}, fmt.Errorf("%d JSON objects are too many for at most %d events and as many engines", objects, maxEntries)
 	}
-	if err := json.Unmarshal(raw, &answer); err != nil {
+	if err := json.Unmarshal(raw, &response); err != nil {
 		return Events{}, err
 	}
-	return Events{answer.N, answer.Events}, nil
+	return Events{response.Newest, response.Events}, nil
 }
 
-// Since hands over the events behind number after: each begins, lists its engines and ends. last is the number of the newest
-// event told; a gap in the numbers ends the reading, which tells that discovery has to be read anew.
-func (all Events) Since(after int64, begins func(whole bool), lists func(id logic.EngineID, address string,
+// Since replays the events with numbers above after. For each it calls beginEvent, where snapshot tells whether the event
+// replaces the whole membership or changes only the engines that it lists, then addEngine for each engine, then endEvent. lastRead
+// is the number of the last event read. gap reports that events are missing, so that the caller has to fetch the full list from the
+// discovery service again; reading stops at a gap, unless the event after it is a snapshot.
+func (list Events) Since(after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
 	location logic.Location, kind logic.KindName, cell logic.Cell, state logic.Health, weight float64,
-	since time.Duration), ends func()) (last int64, gap bool) {
-	if all.last < after {
+	since time.Duration), endEvent func()) (lastRead int64, gap bool) {
+	if list.newest < after {
 		return after, true
 	}
-	last = after
-	for _, e := range all.events {
-		if e.N <= last {
+	lastRead = after
+	for _, ev := range list.events {
+		if ev.Number <= lastRead {
 			continue
 		}
-		if whole := e.Members != nil && e.Members.Whole; e.N > last+1 && !whole {
-			return last, true
+		if snapshot := ev.Members != nil && ev.Members.Snapshot; ev.Number > lastRead+1 && !snapshot {
+			return lastRead, true
 		}
-		if last = e.N; e.Members == nil {
+		if lastRead = ev.Number; ev.Members == nil {
 			continue
 		}
-		begins(e.Members.Whole)
-		for _, h := range e.Members.Hosts {
-			lists(h.Host, h.Dial, h.Site, h.Class, h.Block, states[h.Health], h.Share,
-				time.Duration(h.BornMS)*time.Millisecond)
+		beginEvent(ev.Members.Snapshot)
+		for _, entry := range ev.Members.Engines {
+			addEngine(entry.ID, entry.Address, entry.Location, entry.Kind, entry.Cell, healthByName[entry.Health], entry.Weight,
+				time.Duration(entry.OnlineSinceMS)*time.Millisecond)
 		}
-		ends()
+		endEvent()
 	}
-	return last, last < all.last
+	return lastRead, lastRead < list.newest
 }
 
-// MostKnown events and hosts may be in what a configuration knows.
-const MostKnown = 1 << 16
+// MaxConfiguredEntries is the maximum number of events, and of engines, in the list known to a configuration.
+const MaxConfiguredEntries = 1 << 16
 
-// Read parses a text and hands over the events behind number after.
-func Read(raw []byte, after int64, begins func(whole bool), lists func(id logic.EngineID, address string,
+// Read parses the list known to a configuration and replays the events with numbers above after, as Since does.
+func Read(raw []byte, after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
 	location logic.Location, kind logic.KindName, cell logic.Cell, state logic.Health, weight float64,
-	since time.Duration), ends func()) (last int64, gap bool, err error) {
-	all, err := Parse(raw, MostKnown)
+	since time.Duration), endEvent func()) (lastRead int64, gap bool, err error) {
+	list, err := Parse(raw, MaxConfiguredEntries)
 	if err != nil {
 		return after, false, err
 	}
-	last, gap = all.Since(after, begins, lists, ends)
-	return last, gap, nil
+	lastRead, gap = list.Since(after, beginEvent, addEngine, endEvent)
+	return lastRead, gap, nil
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -10,38 +10,40 @@
 	"time"
 )
 
-// reader is a reader of a log that stalls, fails or takes lines.
-type reader struct {
-	mu    sync.Mutex
-	err   error
-	taken bytes.Buffer
+// fakeReader is the writer behind a Sink. It blocks while mu is held by the test, fails with err if err is set, and otherwise records
+// the lines.
+type fakeReader struct {
+	mu       sync.Mutex
+	err      error
+	received bytes.Buffer
 }
 
-func (r *reader) Write(line []byte) (int, error) {
+func (r *fakeReader) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err != nil {
 		return 0, r.err
 	}
-	return r.taken.Write(line)
+	return r.received.Write(line)
 }
 
-// TestStalledReader: lines are taken at once whether or not they are read, their memory has a bound, and the reader is told of the rest.
+// TestStalledReader guards against log calls that block and against unbounded memory while nothing reads the log: Write must return
+// at once, the queue must stay within its limit, and the log must report the number of dropped lines afterwards.
 func TestStalledReader(t *testing.T) {
-	r := &reader{}
+	r := &fakeReader{}
 	s := New(r)
 	r.mu.Lock()
-	from := time.Now()
-	for n := range 10 * mostLines {
+	start := time.Now()
+	for n := range 10 * maxQueuedLines {
 		if _, err := s.Write(fmt.Appendf(nil, "line %d %s\n", n, strings.Repeat("x", 1000))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(from); took > time.Second {
-		t.Error("held up for ", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Error("Write blocked for ", elapsed)
 	}
-	if waits := s.waiting.Load(); waits > mostBytes {
-		t.Errorf("%d bytes wait, %d at most", waits, mostBytes)
+	if queued := s.queuedBytes.Load(); queued > maxQueuedBytes {
+		t.Errorf("%d bytes are queued, limit %d", queued, maxQueuedBytes)
 	}
 	r.mu.Unlock()
 	s.Flush(time.Second)
@@ -49,15 +51,15 @@
 	s.Flush(time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	text := r.taken.String()
+	text := r.received.String()
 	if !strings.HasPrefix(text, "line 0 ") || !strings.HasSuffix(text, "last\n") || !strings.Contains(text, fmt.Sprint("all=", s.Dropped())) {
-		t.Error("not in order, or drops are not told")
+		t.Error("lines are out of order, or the number of dropped lines is not reported")
 	}
 }
 
-// TestReaderGone: an error of the reader ends nothing.
+// TestReaderGone guards against a Sink that stops after a write error: lines logged after the error must be written.
 func TestReaderGone(t *testing.T) {
-	r := &reader{err: errors.New("broken pipe")}
+	r := &fakeReader{err: errors.New("broken pipe")}
 	s := New(r)
 	_, _ = s.Write([]byte("lost\n"))
 	s.Flush(time.Second)
@@ -68,7 +70,7 @@
 	s.Flush(time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if text := r.taken.String(); text != "here\n" {
+	if text := r.received.String(); text != "here\n" {
 		t.Errorf("%q", text)
 	}
 }
--- a/internal/mongowire/mongowire.go
+++ b/internal/mongowire/mongowire.go
@@ -16,14 +16,14 @@
 	OpQuery      = 2004 // for the first hello only
 	OpCompressed = 2012
 	OpMsg        = 2013
-	HeadSize     = 16
+	HeaderBytes  = 16
 )
 
 // MostSize is the protocol's bound on a message in bytes, header and all; a hello tells it as maxMessageSizeBytes.
-const MostSize = 48_000_000
+const MaxMessageBytes = 48_000_000
 
 // leastDocument is an empty document: its length and the end.
-const leastDocument = 5
+const minDocumentBytes = 5
 
 // Flags of an OP_MSG. The lower sixteen bits must be understood by whoever reads them.
 type Flags uint32
@@ -34,14 +34,14 @@
 	ExhaustAllowed  Flags = 1 << 16 // an answer may be followed by more without a request for each
 )
 
-const mustKnow Flags = 0xffff
+const requiredFlags Flags = 0xffff
 
 // Header is what each message begins with.
 type Header struct {
-	Size     int // of the whole message in bytes, 16 to MostSize
-	Request  int32
-	Response int32 // the request that this answers, or 0
-	Op       int32
+	Size       int // of the whole message in bytes, 16 to MostSize
+	RequestID  int32
+	ResponseTo int32 // the request that this answers, or 0
+	OpCode     int32
 }
 
 // ErrSize tells that a message is shorter than its header or longer than the bound; what follows can't be read.
@@ -49,19 +49,19 @@
 
 // Next splits the first message off data, whose body is a part of data. Its header's Size is 0 while more bytes are
 // needed; a size out of range is told as soon as it can be read, before anything of the message is kept.
-func Next(data []byte, most int) (h Header, body []byte, err error) {
+func Next(data []byte, maxBytes int) (header Header, body []byte, err error) {
 	if len(data) < 4 {
 		return Header{}, nil, nil
 	}
 	size := int32(binary.LittleEndian.Uint32(data))
-	if size < HeadSize || int64(size) > int64(min(most, MostSize)) {
+	if size < HeaderBytes || int64(size) > int64(min(maxBytes, MaxMessageBytes)) {
 		return Header{}, nil, fmt.Errorf("%w: %d", ErrSize, size)
 	}
 	if len(data) < int(size) {
 		return Header{}, nil, nil
 	}
-	read := func(at int) int32 { return int32(binary.LittleEndian.Uint32(data[at:])) }
-	return Header{int(size), read(4), read(8), read(12)}, data[HeadSize:size], nil
+	int32At := func(offset int) int32 { return int32(binary.LittleEndian.Uint32(data[offset:])) }
+	return Header{int(size), int32At(4), int32At(8), int32At(12)}, data[HeaderBytes:size], nil
 }
 
 // The faults of an OP_MSG.
@@ -74,15 +74,15 @@
 // Msg reads the body of an OP_MSG, which is part of the message given whole for its checksum. It gives the flags and
 // the one command document, and hands over each document of the sequences, if any, with the name of its sequence. All
 // of it is checked to fit together before anything is handed over.
-func Msg(message []byte, each func(sequence []byte, document []byte)) (flags Flags, command []byte, err error) {
-	if len(message) < HeadSize+4 {
+func ParseMsg(message []byte, visit func(sequence []byte, document []byte)) (flags Flags, command []byte, err error) {
+	if len(message) < HeaderBytes+4 {
 		return 0, nil, fmt.Errorf("%w: no flags", ErrSection)
 	}
-	flags = Flags(binary.LittleEndian.Uint32(message[HeadSize:]))
-	if unknown := flags & mustKnow &^ (ChecksumPresent | MoreToCome); unknown != 0 {
+	flags = Flags(binary.LittleEndian.Uint32(message[HeaderBytes:]))
+	if unknown := flags & requiredFlags &^ (ChecksumPresent | MoreToCome); unknown != 0 {
 		return flags, nil, fmt.Errorf("%w: %#x", ErrFlags, uint32(unknown))
 	}
-	body := message[HeadSize+4:]
+	body := message[HeaderBytes+4:]
 	if flags&ChecksumPresent != 0 {
 		if len(body) < 4 {
 			return flags, nil, fmt.Errorf("%w: none is there", ErrChecksum)
@@ -93,23 +93,23 @@
 		}
 		body = body[:len(body)-4]
 	}
-	command, err = sections(body, nil)
-	if err == nil && each != nil {
-		_, err = sections(body, each)
+	command, err = parseSections(body, nil)
+	if err == nil && visit != nil {
+		_, err = parseSections(body, visit)
 	}
 	return flags, command, err
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func sections(body []byte, each func(sequence, document []byte)) (command []byte, err error) {
+func parseSections(body []byte, visit func(sequence, document []byte)) (command []byte, err error) {
 	for len(body) > 0 {
 		kind := body[0]
 		body = body[1:]
 		switch kind {
 		case 0:
 			var document []byte
-			if document, body, err = cut(body); err != nil {
+			if document, body, err = cutDocument(body); err != nil {
 				return nil, err
 			}
 			if command != nil {
@@ -133,11 +133,11 @@
 			name, rest := sequence[:end], sequence[end+1:]
 			for len(rest) > 0 {
 				var document []byte
-				if document, rest, err = cut(rest); err != nil {
+				if document, rest, err = cutDocument(rest); err != nil {
 					return nil, err
 				}
-				if each != nil {
-					each(name, document)
+				if visit != nil {
+					visit(name, document)
 				}
 			}
 		default:
@@ -151,12 +151,12 @@
 }
 
 // cut splits the first document off.
-func cut(data []byte) (document, rest []byte, err error) {
-	if len(data) < leastDocument {
+func cutDocument(data []byte) (document, rest []byte, err error) {
+	if len(data) < minDocumentBytes {
 		return nil, nil, fmt.Errorf("%w: half a document", ErrSection)
 	}
 	size := int64(int32(binary.LittleEndian.Uint32(data)))
-	if size < leastDocument || size > int64(len(data)) || data[size-1] != 0 {
+	if size < minDocumentBytes || size > int64(len(data)) || data[size-1] != 0 {
 		return nil, nil, fmt.Errorf("%w: a document of %d bytes", ErrSection, size)
 	}
 	return data[:size], data[size:], nil
@@ -169,29 +169,29 @@
 }
 
 // AppendMsg appends an OP_MSG with a command and its sequences, and its checksum where the flags say so.
-func AppendMsg(out []byte, request, response int32, flags Flags, command []byte, sequences ...Sequence) []byte {
-	from := len(out)
-	out = append(out, make([]byte, HeadSize)...)
-	out = binary.LittleEndian.AppendUint32(out, uint32(flags))
-	out = append(append(out, 0), command...)
+func AppendMsg(dst []byte, requestID, responseTo int32, flags Flags, command []byte, sequences ...Sequence) []byte {
+	start := len(dst)
+	dst = append(dst, make([]byte, HeaderBytes)...)
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(flags))
+	dst = append(append(dst, 0), command...)
 	for _, s := range sequences {
-		out = append(out, 1)
-		at := len(out)
-		out = append(append(append(out, 0, 0, 0, 0), s.Name...), 0)
+		dst = append(dst, 1)
+		sizeOffset := len(dst)
+		dst = append(append(append(dst, 0, 0, 0, 0), s.Name...), 0)
 		for _, document := range s.Documents {
-			out = append(out, document...)
+			dst = append(dst, document...)
 		}
-		binary.LittleEndian.PutUint32(out[at:], uint32(len(out)-at))
+		binary.LittleEndian.PutUint32(dst[sizeOffset:], uint32(len(dst)-sizeOffset))
 	}
-	size := len(out) - from
+	size := len(dst) - start
 	if flags&ChecksumPresent != 0 {
 		size += 4
 	}
-	for n, value := range []int32{int32(size), request, response, OpMsg} {
-		binary.LittleEndian.PutUint32(out[from+4*n:], uint32(value))
+	for field, value := range []int32{int32(size), requestID, responseTo, OpMsg} {
+		binary.LittleEndian.PutUint32(dst[start+4*field:], uint32(value))
 	}
 	if flags&ChecksumPresent != 0 {
-		out = binary.LittleEndian.AppendUint32(out, crc32.Checksum(out[from:], castagnoli))
+		dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(dst[start:], castagnoli))
 	}
-	return out
+	return dst
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,4 +1,4 @@
-// Package resp reads and writes RESP arrays of bulk strings, over bytes alone.
+// Package resp encodes and decodes RESP arrays of bulk strings, called words here, in byte slices and without I/O.
 package resp
 
 import (
@@ -7,106 +7,109 @@
 	"strconv"
 )
 
-// The most words of an array and bytes of a word that are taken: four words are sent, and a page has 6,000
-// bytes, so that both leave room for later fields. A number has no more digits than it needs.
+// Limits on what is decoded: words in an array, bytes in a word, and digits in either number. A command has four words and a
+// result page at most 6,000 bytes, so that MaxWords and MaxWordBytes leave room for later fields. maxDigits is what
+// MaxWordBytes needs.
 const (
-	MaxWords  = 8
-	MaxWord   = 1 << 14
-	mostDigit = 5
+	MaxWords     = 8
+	MaxWordBytes = 1 << 14
+	maxDigits    = 5
 )
 
 var (
-	errForm  = errors.New("not an array of bulk strings")
-	errLimit = errors.New("number out of range")
+	errSyntax = errors.New("input is not a RESP array of bulk strings")
+	errRange  = errors.New("RESP array or bulk string exceeds the size limit")
 )
 
-// Next splits the first array off data and appends its words, parts of data, to words. Its size is 0 while more
-// bytes are needed.
+// Next decodes the first array in data and appends its words to words; they share memory with data. size is the number of bytes
+// that the array takes, or 0 while more bytes are needed.
 func Next(data []byte, words [][]byte) (_ [][]byte, size int, err error) {
-	count, at, err := number(data, 0, '*', MaxWords)
-	if err != nil || at == 0 {
+	count, pos, err := readHeader(data, 0, '*', MaxWords)
+	if err != nil || pos == 0 {
 		return nil, 0, err
 	}
 	for range count {
-		length, from, err := number(data, at, '$', MaxWord)
-		if err != nil || from == 0 {
+		length, start, err := readHeader(data, pos, '$', MaxWordBytes)
+		if err != nil || start == 0 {
 			return nil, 0, err
 		}
-		at = from + length + 2
-		if len(data) < at {
+		pos = start + length + 2
+		if len(data) < pos {
 			return nil, 0, nil
 		}
-		if data[at-2] != '\r' || data[at-1] != '\n' {
-			return nil, 0, errForm
+		if data[pos-2] != '\r' || data[pos-1] != '\n' {
+			return nil, 0, errSyntax
 		}
-		words = append(words, data[from:at-2])
+		words = append(words, data[start:pos-2])
 	}
-	return words, at, nil
+	return words, pos, nil
 }
 
-// number reads a mark, digits and the line's end; next is 0 while more bytes are needed.
-func number(data []byte, at int, mark byte, most int) (n, next int, err error) {
-	if at >= len(data) {
+// readHeader reads a line of prefix, a decimal number up to maximum, and CR LF, starting at pos. next is the position after the
+// line, or 0 while more bytes are needed.
+func readHeader(data []byte, pos int, prefix byte, maximum int) (value, next int, err error) {
+	if pos >= len(data) {
 		return 0, 0, nil
 	}
-	if data[at] != mark {
-		return 0, 0, errForm
+	if data[pos] != prefix {
+		return 0, 0, errSyntax
 	}
-	for i := at + 1; i < len(data); i++ {
-		switch d := data[i]; {
-		case d >= '0' && d <= '9':
-			if n = n*10 + int(d-'0'); n > most || i-at > mostDigit {
-				return 0, 0, errLimit
+	for i := pos + 1; i < len(data); i++ {
+		switch digit := data[i]; {
+		case digit >= '0' && digit <= '9':
+			if value = value*10 + int(digit-'0'); value > maximum || i-pos > maxDigits {
+				return 0, 0, errRange
 			}
-		case d == '\r' && i > at+1:
+		case digit == '\r' && i > pos+1:
 			if i+1 < len(data) && data[i+1] != '\n' {
-				return 0, 0, errForm
+				return 0, 0, errSyntax
 			}
 			if i+1 == len(data) {
 				return 0, 0, nil
 			}
-			return n, i + 2, nil
+			return value, i + 2, nil
 		default:
-			return 0, 0, errForm
+			return 0, 0, errSyntax
 		}
 	}
 	return 0, 0, nil
 }
 
-// AppendArray begins an array of so many words.
-func AppendArray(to []byte, words int) []byte {
-	return append(strconv.AppendInt(append(to, '*'), int64(words), 10), "\r\n"...)
+// AppendArray appends the header of an array of count words; the caller appends the words after it.
+func AppendArray(dst []byte, count int) []byte {
+	return append(strconv.AppendInt(append(dst, '*'), int64(count), 10), "\r\n"...)
 }
 
-// AppendWord writes one word.
-func AppendWord(to []byte, word string) []byte {
-	return append(append(AppendWordHead(to, len(word)), word...), "\r\n"...)
+// AppendWord appends one word as a bulk string.
+func AppendWord(dst []byte, word string) []byte {
+	return append(append(AppendWordHead(dst, len(word)), word...), "\r\n"...)
 }
 
-// AppendWordHead writes what goes before a word; the word and the line's end follow apart from it.
-func AppendWordHead(to []byte, length int) []byte {
-	return append(strconv.AppendInt(append(to, '$'), int64(length), 10), "\r\n"...)
+// AppendWordHead appends the header of a bulk string of length bytes. The bytes and the final CR LF are left to the caller.
+func AppendWordHead(dst []byte, length int) []byte {
+	return append(strconv.AppendInt(append(dst, '$'), int64(length), 10), "\r\n"...)
 }
 
-// Fields hands over each pair of a list name=value,name=value, or none for a lone dash.
-func Fields(list []byte, each func(name, value []byte)) {
+// Fields calls visit with each pair of a list such as name=value,name=value. A list of a single dash is empty.
+func Fields(list []byte, visit func(name, value []byte)) {
 	if len(list) == 1 && list[0] == '-' {
 		return
 	}
-	Pairs(list, ',', '=', each)
+	Pairs(list, ',', '=', visit)
 }
 
-// Pairs hands over the pairs of a list with the separators given; a part without one is passed over.
-func Pairs(list []byte, between, within byte, each func(name, value []byte)) {
+// Pairs calls visit with each pair of a list, whose pairs are parted by pairSeparator and whose names and values by
+// valueSeparator. It skips elements without a valueSeparator.
+func Pairs(list []byte, pairSeparator, valueSeparator byte, visit func(name, value []byte)) {
 	for len(list) > 0 {
 		var part []byte
-		if at := bytes.IndexByte(list, between); at >= 0 {
+		if at := bytes.IndexByte(list, pairSeparator); at >= 0 {
 			part, list = list[:at], list[at+1:]
 		} else {
 			part, list = list, nil
 		}
-		if name, value, found := bytes.Cut(part, []byte{within}); found {
-			each(name, value)
+		if name, value, found := bytes.Cut(part, []byte{valueSeparator}); found {
+			visit(name, value)
 		}
 	}
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -13,7 +13,7 @@
 	}
 	for n := range data {
 		if _, size, err := Next(data[:n], nil); size != 0 || err != nil {
-			t.Fatal("taken early", n, err)
+			t.Fatal("array accepted before it was complete", n, err)
 		}
 	}
 	words, size, err := Next(append(data, '*'), nil)
@@ -55,14 +55,14 @@
 			return
 		}
 		if _, early, err := Next(data[:size-1], nil); early != 0 || err != nil {
-			t.Fatal("taken early", early, err)
+			t.Fatal("array accepted before it was complete", early, err)
 		}
-		again := AppendArray(nil, len(words))
+		encoded := AppendArray(nil, len(words))
 		for _, word := range words {
-			again = AppendWord(again, string(word))
+			encoded = AppendWord(encoded, string(word))
 		}
-		if back, _, err := Next(again, nil); err != nil || !cmp.Equal(words, back) {
-			t.Fatal("not the same again", err)
+		if decoded, _, err := Next(encoded, nil); err != nil || !cmp.Equal(words, decoded) {
+			t.Fatal("decoding the encoded words gave other words", err)
 		}
 	})
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -15,85 +15,89 @@
 type event []json.RawMessage
 
 // fields reads one row's values in order of their place and keeps the first error.
-type fields struct {
-	row event
-	err error
+type valueReader struct {
+	values event
+	err    error
 }
 
-func (f *fields) get(at int, name string, into any) {
-	if f.err != nil || at >= len(f.row) {
+func (r *valueReader) decode(index int, name string, dst any) {
+	if r.err != nil || index >= len(r.values) {
 		return
 	}
-	if err := json.Unmarshal(f.row[at], into); err != nil {
-		f.err = fmt.Errorf("field %s: %w", name, err)
+	if err := json.Unmarshal(r.values[index], dst); err != nil {
+		r.err = fmt.Errorf("field %s: %w", name, err)
 	}
 }
 
-func (f *fields) text(at int, name string) (s string) { f.get(at, name, &s); return }
+func (r *valueReader) str(index int, name string) (s string) { r.decode(index, name, &s); return }
 
-func (f *fields) int(at int, name string) (n int64) { f.get(at, name, &n); return }
+func (r *valueReader) integer(index int, name string) (n int64) { r.decode(index, name, &n); return }
 
-func (f *fields) span(at int, name string) time.Duration { return time.Duration(f.int(at, name)) }
+func (r *valueReader) duration(index int, name string) time.Duration {
+	return time.Duration(r.integer(index, name))
+}
 
-func (f *fields) number(at int, name string) (n float64) { f.get(at, name, &n); return }
+func (r *valueReader) float(index int, name string) (n float64) { r.decode(index, name, &n); return }
 
-func (f *fields) flag(at int, name string) (b bool) { f.get(at, name, &b); return }
+func (r *valueReader) boolean(index int, name string) (b bool) { r.decode(index, name, &b); return }
 
 // customer is a name, and 0 or absent where there are none.
-func (f *fields) customer(at int, name string) logic.CustomerID {
-	if at < len(f.row) && string(f.row[at]) == "0" {
+func (r *valueReader) customer(index int, name string) logic.CustomerID {
+	if index < len(r.values) && string(r.values[index]) == "0" {
 		return ""
 	}
-	return logic.CustomerID(f.text(at, name))
+	return logic.CustomerID(r.str(index, name))
 }
 
 // instance is one controller and its host; replies is the batch's common list of decisions.
 type instance struct {
-	id      int64
-	logic   *logic.Controller
-	columns []string
-	replies *[][]any
+	id         int64
+	controller *logic.Controller
+	columns    []string
+	decisions  *[][]any
 }
 
-func (i *instance) say(name string, values ...any) {
-	*i.replies = append(*i.replies, append([]any{name, i.id}, values...))
+func (i *instance) decide(name string, values ...any) {
+	*i.decisions = append(*i.decisions, append([]any{name, i.id}, values...))
 }
 
 func (i *instance) Attempt(job logic.JobID, engine logic.EngineID, timeout, _ time.Duration) {
-	i.say("assign", job, engine, timeout)
+	i.decide("assign", job, engine, timeout)
 }
 
 func (i *instance) SetTerms(job logic.JobID, memoryMB float64, priority int) {
-	i.say("grant_and_rank", job, priority, memoryMB)
+	i.decide("grant_and_rank", job, priority, memoryMB)
+}
+func (i *instance) Recall(job logic.JobID, attempt int) { i.decide("recall", job, attempt) }
+func (i *instance) Reject(job logic.JobID, retryAfter time.Duration) {
+	i.decide("refuse", job, retryAfter)
 }
-func (i *instance) Recall(job logic.JobID, attempt int)         { i.say("recall", job, attempt) }
-func (i *instance) Reject(job logic.JobID, wait time.Duration)  { i.say("refuse", job, wait) }
-func (i *instance) Fail(job logic.JobID)                        { i.say("give_up", job) }
-func (i *instance) WakeAfter(t logic.TimerID, in time.Duration) { i.say("arm", t, in) }
-func (i *instance) Follow(on bool)                              { i.say("tail", on) }
-func (i *instance) FetchList()                                  { i.say("reload") }
-func (i *instance) Probe(engine logic.EngineID)                 { i.say("sound_out", engine) }
-func (i *instance) CloseIdle(engine logic.EngineID)             { i.say("free_links", engine) }
-func (i *instance) TellPeer(peer logic.PeerID, message string)  { i.say("share", peer, message) }
-func (i *instance) Suspects(logic.EngineID, bool)               {}
-func (i *instance) Log(line string)                             { i.say("print", line) }
+func (i *instance) Fail(job logic.JobID)                               { i.decide("give_up", job) }
+func (i *instance) WakeAfter(timer logic.TimerID, delay time.Duration) { i.decide("arm", timer, delay) }
+func (i *instance) Follow(enabled bool)                                { i.decide("tail", enabled) }
+func (i *instance) FetchList()                                         { i.decide("reload") }
+func (i *instance) Probe(engine logic.EngineID)                        { i.decide("sound_out", engine) }
+func (i *instance) CloseIdle(engine logic.EngineID)                    { i.decide("free_links", engine) }
+func (i *instance) TellPeer(peer logic.PeerID, message string)         { i.decide("share", peer, message) }
+func (i *instance) Suspects(logic.EngineID, bool)                      {}
+func (i *instance) Log(line string)                                    { i.decide("print", line) }
 
 // process hosts many instances; they share nothing but the pipe and the numbered lists of the wire.
-type process struct {
-	instances map[int64]*instance
-	lists     map[int64][]event
-	replies   [][]any
-	stderr    io.Writer
+type simulatorHost struct {
+	instances   map[int64]*instance
+	engineLists map[int64][]event
+	decisions   [][]any
+	stderr      io.Writer
 }
 
 // Run answers batches until the input ends.
 func Run(in io.Reader, out, stderr io.Writer) error {
-	p := &process{instances: map[int64]*instance{}, lists: map[int64][]event{}, stderr: stderr}
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
-	last := "the start"
+	host := &simulatorHost{instances: map[int64]*instance{}, engineLists: map[int64][]event{}, stderr: stderr}
+	reader := bufio.NewReaderSize(in, 1<<20)
+	writer := bufio.NewWriterSize(out, 1<<20)
+	lastFrame := "the start"
 	for {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if len(line) == 0 && err == io.EOF {
 			return nil
 		} else if err != nil && err != io.EOF {
@@ -105,216 +109,220 @@
 			Events []event         `json:"events"`
 		}
 		if err := json.Unmarshal(line, &batch); err != nil {
-			return fmt.Errorf("batch after frame %s: unreadable: %w", last, err)
+			return fmt.Errorf("batch after frame %s: unreadable: %w", lastFrame, err)
 		}
 		if batch.Moment == nil || batch.Frame == nil {
-			return fmt.Errorf("batch after frame %s: field moment or frame is missing", last)
+			return fmt.Errorf("batch after frame %s: field moment or frame is missing", lastFrame)
 		}
-		last = string(batch.Frame)
-		p.replies = p.replies[:0]
-		for n, e := range batch.Events {
-			if err := p.event(time.Duration(*batch.Moment), e); err != nil {
-				return fmt.Errorf("frame %s: event %d: %w", last, n, err)
+		lastFrame = string(batch.Frame)
+		host.decisions = host.decisions[:0]
+		for index, row := range batch.Events {
+			if err := host.handleEvent(time.Duration(*batch.Moment), row); err != nil {
+				return fmt.Errorf("frame %s: event %d: %w", lastFrame, index, err)
 			}
 		}
-		if p.replies == nil {
-			p.replies = [][]any{}
+		if host.decisions == nil {
+			host.decisions = [][]any{}
 		}
-		reply, err := json.Marshal(map[string]any{"frame": batch.Frame, "decisions": p.replies})
+		reply, err := json.Marshal(map[string]any{"frame": batch.Frame, "decisions": host.decisions})
 		if err != nil {
-			return fmt.Errorf("frame %s: reply: %w", last, err)
+			return fmt.Errorf("frame %s: reply: %w", lastFrame, err)
 		}
-		w.Write(append(reply, '\n'))
-		if err := w.Flush(); err != nil {
+		writer.Write(append(reply, '\n'))
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
 // width is the number of values of each event, the name among them.
-var width = map[string]int{"init": 4, "snapshot_rows": 3, "discovery": 5, "new_request": 11,
+var maxValues = map[string]int{"init": 4, "snapshot_rows": 3, "discovery": 5, "new_request": 11,
 	"timed_out_client": 3, "halt": 2, "fired": 3, "status_back": 6, "signal": 7, "closed_attempt": 10,
 	"whisper": 4, "accepted": 6}
 
-func (p *process) event(now time.Duration, row event) error {
-	f := &fields{row: row}
-	name := f.text(0, "name")
-	id := f.int(1, "controller_id")
-	if f.err != nil {
-		return f.err
+func (h *simulatorHost) handleEvent(now time.Duration, row event) error {
+	fields := &valueReader{values: row}
+	name := fields.str(0, "name")
+	id := fields.integer(1, "controller_id")
+	if fields.err != nil {
+		return fields.err
 	}
 	if len(row) < 2 {
 		return fmt.Errorf("%q: field controller_id is missing", name)
 	}
-	if want, known := width[name]; !known {
-		fmt.Fprintf(p.stderr, "simhost: event %q is not known: passed over\n", name)
+	if limit, known := maxValues[name]; !known {
+		fmt.Fprintf(h.stderr, "simhost: event %q is not known: passed over\n", name)
 		return nil
-	} else if len(row) > want {
-		fmt.Fprintf(p.stderr, "simhost: %s has %d values, %d are read\n", name, len(row), want)
+	} else if len(row) > limit {
+		fmt.Fprintf(h.stderr, "simhost: %s has %d values, %d are read\n", name, len(row), limit)
 	}
 	switch name {
 	case "snapshot_rows":
 		var rows []event
-		f.get(2, "elements", &rows)
-		p.lists[id] = rows
-		return named(name, f.err)
+		fields.decode(2, "elements", &rows)
+		h.engineLists[id] = rows
+		return withEventName(name, fields.err)
 	case "init":
-		return named(name, p.start(id, f))
+		return withEventName(name, h.startInstance(id, fields))
 	case "halt":
-		delete(p.instances, id)
+		delete(h.instances, id)
 		return nil
 	}
-	i := p.instances[id]
-	if i == nil {
-		fmt.Fprintf(p.stderr, "simhost: %s for instance %d, which is not known: passed over\n", name, id)
+	target := h.instances[id]
+	if target == nil {
+		fmt.Fprintf(h.stderr, "simhost: %s for instance %d, which is not known: passed over\n", name, id)
 		return nil
 	}
 	defer func() {
-		if broke := recover(); broke != nil {
-			i.say("exception", fmt.Sprint(broke))
+		if recovered := recover(); recovered != nil {
+			target.decide("exception", fmt.Sprint(recovered))
 		}
 	}()
-	return named(name, p.tell(i, now, name, f))
+	return withEventName(name, h.deliver(target, now, name, fields))
 }
 
-func named(name string, err error) error {
+func withEventName(name string, err error) error {
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
 }
 
-func (p *process) start(id int64, f *fields) error {
+func (h *simulatorHost) startInstance(id int64, fields *valueReader) error {
 	var seed uint64
-	f.get(2, "salt", &seed)
-	if f.err != nil {
-		return f.err
+	fields.decode(2, "salt", &seed)
+	if fields.err != nil {
+		return fields.err
 	}
-	if len(f.row) < 4 {
+	if len(fields.values) < 4 {
 		return fmt.Errorf("field config is missing")
 	}
-	settings, err := config.ReadSettings(f.row[3])
+	settings, err := config.ReadSettings(fields.values[3])
 	if err != nil {
 		return err
 	}
-	i := &instance{id: id, columns: settings.Columns, replies: &p.replies}
-	i.logic = config.Module(i, settings.Logic, int64(seed))
-	p.instances[id] = i
+	started := &instance{id: id, columns: settings.Columns, decisions: &h.decisions}
+	started.controller = config.Module(started, settings.Logic, int64(seed))
+	h.instances[id] = started
 	return nil
 }
 
-var outcomes = map[string]logic.Outcome{"S": logic.Done, "E": logic.Errored, "F": logic.TurnedAway,
+var outcomeByCode = map[string]logic.Outcome{"S": logic.Done, "E": logic.Errored, "F": logic.TurnedAway,
 	"T": logic.TimedOut, "C": logic.NoConnection, "R": logic.ConnectionLost, "X": logic.Recalled,
 	"N": logic.NotSent}
 
-func (f *fields) outcome(at int) logic.Outcome {
-	code := f.text(at, "disposition")
-	o, known := outcomes[code]
-	if f.err == nil && !known {
-		f.err = fmt.Errorf("field disposition: %q is not known", code)
+func (r *valueReader) outcome(index int) logic.Outcome {
+	code := r.str(index, "disposition")
+	outcome, known := outcomeByCode[code]
+	if r.err == nil && !known {
+		r.err = fmt.Errorf("field disposition: %q is not known", code)
 	}
-	return o
+	return outcome
 }
 
-func (f *fields) load(at int, columns []string) logic.Load {
+func (r *valueReader) load(index int, columns []string) logic.Load {
 	load := logic.Load{Util: -1, Waiting: -1, MemoryGranted: -1}
 	var values []*float64
-	f.get(at, "stats", &values)
-	for n, column := range columns {
-		if n >= len(values) || values[n] == nil {
+	r.decode(index, "stats", &values)
+	for position, column := range columns {
+		if position >= len(values) || values[position] == nil {
 			continue
 		}
 		switch column {
 		case "cpu":
-			load.Util = *values[n]
+			load.Util = *values[position]
 		case "waiting":
-			load.Waiting = *values[n]
+			load.Waiting = *values[position]
 		case "x0":
-			load.MemoryGranted = *values[n]
+			load.MemoryGranted = *values[position]
 		}
 	}
 	return load
 }
 
-func (p *process) tell(i *instance, now time.Duration, name string, f *fields) error {
-	job := func() logic.JobID { return logic.JobID(f.text(2, "id")) }
-	engine := func(at int) logic.EngineID { return logic.EngineID(f.text(at, "executor")) }
+func (h *simulatorHost) deliver(target *instance, now time.Duration, name string, fields *valueReader) error {
+	jobField := func() logic.JobID { return logic.JobID(fields.str(2, "id")) }
+	engineField := func(index int) logic.EngineID { return logic.EngineID(fields.str(index, "executor")) }
 	var call func()
 	switch name {
 	case "discovery":
-		return p.list(i, now, f)
+		return h.applyEngineList(target, now, fields)
 	case "new_request":
-		j, t, customer := job(), logic.ClassName(f.text(3, "type")), f.customer(4, "user_group")
-		key, expires := logic.Key(f.text(5, "order_key")), f.span(6, "expires")
-		cost, memory := f.span(7, "plan_cost"), f.number(8, "need_mb")
-		tables, flags := logic.Tables(f.number(9, "table_group")), f.int(10, "flags")
+		job, class, customer := jobField(), logic.ClassName(fields.str(3, "type")), fields.customer(4, "user_group")
+		key, expires := logic.Key(fields.str(5, "order_key")), fields.duration(6, "expires")
+		cost, memoryMB := fields.duration(7, "plan_cost"), fields.float(8, "need_mb")
+		tables, flags := logic.Tables(fields.float(9, "table_group")), fields.integer(10, "flags")
 		if flags&1 == 0 {
 			cost = 0
 		}
-		call = func() { i.logic.JobTaken(now, j, t, customer, key, expires, cost, memory, tables, flags&2 != 0, nil) }
+		call = func() {
+			target.controller.JobTaken(now, job, class, customer, key, expires, cost, memoryMB, tables, flags&2 != 0, nil)
+		}
 	case "timed_out_client":
-		j := job()
-		call = func() { i.logic.ClientGone(now, j) }
+		job := jobField()
+		call = func() { target.controller.ClientGone(now, job) }
 	case "fired":
-		t := logic.TimerID(f.int(2, "name"))
-		call = func() { i.logic.TimerDue(now, t) }
+		timer := logic.TimerID(fields.integer(2, "name"))
+		call = func() { target.controller.TimerDue(now, timer) }
 	case "status_back":
-		o, e, took := f.outcome(2), engine(3), f.span(4, "wait_time")
-		load := f.load(5, i.columns)
-		call = func() { i.logic.ProbeAnswered(now, e, o, took, load) }
+		outcome, engine, elapsed := fields.outcome(2), engineField(3), fields.duration(4, "wait_time")
+		load := fields.load(5, target.columns)
+		call = func() { target.controller.ProbeAnswered(now, engine, outcome, elapsed, load) }
 	case "signal":
-		j, n, e := job(), int(f.int(3, "go")), engine(4)
-		level, topic := f.number(5, "level"), logic.Topic(f.int(6, "topic"))
-		call = func() { i.logic.Noted(now, j, n, e, topic, level) }
+		job, attempt, engine := jobField(), int(fields.integer(3, "go")), engineField(4)
+		level, topic := fields.float(5, "level"), logic.Topic(fields.integer(6, "topic"))
+		call = func() { target.controller.Noted(now, job, attempt, engine, topic, level) }
 	case "closed_attempt":
-		j, n, e, o := job(), int(f.int(3, "go")), engine(4), f.outcome(5)
-		took, over, note := f.span(6, "wait_time"), f.flag(7, "complete"), f.int(8, "note")
-		work, memory := time.Duration(note/4096)*time.Millisecond, float64(note%4096)*4
-		load := f.load(9, i.columns)
-		call = func() { i.logic.AttemptOver(now, j, n, e, o, took, over, work, memory, load) }
+		job, attempt, engine, outcome := jobField(), int(fields.integer(3, "go")), engineField(4), fields.outcome(5)
+		elapsed, complete, note := fields.duration(6, "wait_time"), fields.boolean(7, "complete"), fields.integer(8, "note")
+		work, memoryMB := time.Duration(note/4096)*time.Millisecond, float64(note%4096)*4
+		load := fields.load(9, target.columns)
+		call = func() {
+			target.controller.AttemptOver(now, job, attempt, engine, outcome, elapsed, complete, work, memoryMB, load)
+		}
 	case "whisper":
-		from, message := logic.PeerID(f.int(2, "from")), f.text(3, "blob")
-		call = func() { i.logic.PeerTold(now, from, message) }
+		peer, message := logic.PeerID(fields.integer(2, "from")), fields.str(3, "blob")
+		call = func() { target.controller.PeerTold(now, peer, message) }
 	case "accepted":
-		j, n, e, took := job(), int(f.int(3, "go")), engine(4), f.span(5, "wait_time")
-		call = func() { i.logic.AnswerBegun(now, j, n, e, took) }
+		job, attempt, engine, elapsed := jobField(), int(fields.integer(3, "go")), engineField(4), fields.duration(5, "wait_time")
+		call = func() { target.controller.AnswerBegun(now, job, attempt, engine, elapsed) }
 	}
-	if f.err == nil {
+	if fields.err == nil {
 		call()
 	}
-	return f.err
+	return fields.err
 }
 
-func (p *process) list(i *instance, now time.Duration, f *fields) error {
-	how := f.text(2, "how")
+func (h *simulatorHost) applyEngineList(target *instance, now time.Duration, fields *valueReader) error {
+	mode := fields.str(2, "how")
 	kind, known := map[string]logic.ListKind{"changes": logic.ListChanges, "all": logic.ListWhole,
-		"remembered": logic.ListRemembered, "refused": logic.ListRefused}[how]
-	number := f.int(4, "list")
-	if f.err != nil {
-		return f.err
+		"remembered": logic.ListRemembered, "refused": logic.ListRefused}[mode]
+	listNumber := fields.integer(4, "list")
+	if fields.err != nil {
+		return fields.err
 	}
 	if !known {
-		return fmt.Errorf("field how: %q is not known", how)
+		return fmt.Errorf("field how: %q is not known", mode)
 	}
-	i.logic.ListBegins(now, kind)
+	target.controller.ListBegins(now, kind)
 	if kind != logic.ListRefused {
-		for _, row := range p.lists[number] {
-			e := &fields{row: row}
-			id, where, sku := e.text(0, "executor"), e.text(1, "rack_zone"), e.text(2, "sku")
-			cell, health, rating := e.int(3, "block"), e.text(4, "health"), e.number(5, "rating")
-			since := e.span(6, "online_since")
-			state, known := map[string]logic.Health{"up": logic.Up, "draining": logic.Draining,
-				"removed": logic.Gone}[health]
-			if e.err != nil {
-				return e.err
+		for _, row := range h.engineLists[listNumber] {
+			entry := &valueReader{values: row}
+			id, location, kindName := entry.str(0, "executor"), entry.str(1, "rack_zone"), entry.str(2, "sku")
+			cell, healthName, weight := entry.integer(3, "block"), entry.str(4, "health"), entry.float(5, "rating")
+			since := entry.duration(6, "online_since")
+			health, known := map[string]logic.Health{"up": logic.Up, "draining": logic.Draining,
+				"removed": logic.Gone}[healthName]
+			if entry.err != nil {
+				return entry.err
 			}
 			if !known {
-				return fmt.Errorf("field health: %q is not known", health)
+				return fmt.Errorf("field health: %q is not known", healthName)
 			}
-			i.logic.EngineListed(now, logic.EngineID(id), logic.Location(where), logic.KindName(sku),
-				logic.Cell(cell), state, rating, since)
+			target.controller.EngineListed(now, logic.EngineID(id), logic.Location(location), logic.KindName(kindName),
+				logic.Cell(cell), health, weight, since)
 		}
 	}
-	i.logic.ListEnds(now)
+	target.controller.ListEnds(now)
 	return nil
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -22,12 +22,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var out, complaints bytes.Buffer
+			var out, stderr bytes.Buffer
 			end := "ends well"
-			if err := Run(bytes.NewReader(in), &out, &complaints); err != nil {
+			if err := Run(bytes.NewReader(in), &out, &stderr); err != nil {
 				end = "ends with: " + err.Error()
 			}
-			got := out.String() + complaints.String() + end + "\n"
+			got := out.String() + stderr.String() + end + "\n"
 			want, err := os.ReadFile(strings.TrimSuffix(input, "in") + "out")
 			if err != nil {
 				t.Fatal(err, "\n"+got)
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,4 +1,5 @@
-// Package statement finds the group of tables that a statement reads or writes.
+// Package statement finds the table group that an SQL statement reads or writes. The schema of a table carries the number of the
+// group, as in sales_17.orders.
 package statement
 
 import (
@@ -6,39 +7,40 @@
 	"strings"
 )
 
-// Group is the number behind the last underscore in the name of the schema of the first table named, or -1.
-// A name after a word that brings in tables goes before one that may be a column's.
+// Group returns the number after the last underscore in the schema name of the first table in the statement, or -1 if there is none.
+// A qualified name after a keyword that introduces tables takes precedence over an earlier one, which may be a column's.
 func Group(text string) int64 {
 	s := scanner{text: text}
-	first, brings := int64(-1), false
+	firstGroup, tableExpected := int64(-1), false
 	for {
-		word, quoted, ok := s.name()
+		word, quoted, ok := s.nextName()
 		if !ok {
-			return first
+			return firstGroup
 		}
 		parts := 1
-		schema, last := "", word
-		for s.dot() {
-			next, _, ok := s.name()
+		schema, lastPart := "", word
+		for s.acceptDot() {
+			next, _, ok := s.nextName()
 			if !ok {
 				break
 			}
-			schema, last, parts = last, next, parts+1
+			schema, lastPart, parts = lastPart, next, parts+1
 		}
 		if parts == 1 {
-			brings = !quoted && bringsTables(word) || brings && s.mayQualify(word)
+			tableExpected = !quoted && introducesTable(word) || tableExpected && s.mayPrecedeTable(word)
 			continue
 		}
-		if n := number(schema); n >= 0 && brings {
-			return n
-		} else if first < 0 {
-			first = n
+		if group := groupNumber(schema); group >= 0 && tableExpected {
+			return group
+		} else if firstGroup < 0 {
+			firstGroup = group
 		}
-		brings = false
+		tableExpected = false
 	}
 }
 
-func bringsTables(word string) bool {
+// introducesTable reports whether a table name may follow the keyword.
+func introducesTable(word string) bool {
 	switch strings.ToLower(word) {
 	case "from", "join", "into", "update", "table", "copy", "using", "truncate":
 		return true
@@ -46,30 +48,32 @@
 	return false
 }
 
-func number(schema string) int64 {
-	at := strings.LastIndexByte(schema, '_')
-	if at < 1 || strings.EqualFold(schema, "staging") {
+// groupNumber returns the number after the last underscore of a schema name, or -1 if there is none.
+func groupNumber(schema string) int64 {
+	underscore := strings.LastIndexByte(schema, '_')
+	if underscore < 1 || strings.EqualFold(schema, "staging") {
 		return -1
 	}
-	for _, d := range schema[at+1:] {
-		if d < '0' || d > '9' {
+	for _, digit := range schema[underscore+1:] {
+		if digit < '0' || digit > '9' {
 			return -1
 		}
 	}
-	n, err := strconv.ParseInt(schema[at+1:], 10, 64)
+	n, err := strconv.ParseInt(schema[underscore+1:], 10, 64)
 	if err != nil {
 		return -1
 	}
 	return n
 }
 
+// scanner reads the names in an SQL text.
 type scanner struct {
 	text string
-	at   int
+	pos  int
 }
 
-// mayQualify tells words that may stand between one that brings in tables and the table.
-func (s *scanner) mayQualify(word string) bool {
+// mayPrecedeTable reports whether the keyword may stand between a keyword that introduces tables and the table name.
+func (s *scanner) mayPrecedeTable(word string) bool {
 	switch strings.ToLower(word) {
 	case "only", "lateral", "table", "if", "exists", "not", "overwrite":
 		return true
@@ -77,23 +81,24 @@
 	return false
 }
 
-// skip passes strings and comments.
-func (s *scanner) skip() bool {
-	rest := s.text[s.at:]
+// skipStringOrComment moves past a string or comment that begins at the current position, or past a dollar sign that begins no
+// dollar-quoted string. It reports whether it moved.
+func (s *scanner) skipStringOrComment() bool {
+	rest := s.text[s.pos:]
 	switch {
 	case strings.HasPrefix(rest, "--"):
-		s.past(rest, "\n", 2)
+		s.skipPast(rest, "\n", 2)
 	case strings.HasPrefix(rest, "/*"):
-		s.comment()
+		s.skipBlockComment()
 	case rest[0] == '\'':
-		escapes := s.at > 0 && (s.text[s.at-1] == 'E' || s.text[s.at-1] == 'e') &&
-			(s.at < 2 || !isPart(s.text[s.at-2]))
-		s.quoted('\'', escapes)
+		escapes := s.pos > 0 && (s.text[s.pos-1] == 'E' || s.text[s.pos-1] == 'e') &&
+			(s.pos < 2 || !isNameByte(s.text[s.pos-2]))
+		s.readQuoted('\'', escapes)
 	case rest[0] == '$':
-		if tag := strings.IndexByte(rest[1:], '$'); tag >= 0 && isTag(rest[1:1+tag]) {
-			s.past(rest, rest[:tag+2], tag+2)
+		if tagBytes := strings.IndexByte(rest[1:], '$'); tagBytes >= 0 && isDollarQuoteTag(rest[1:1+tagBytes]) {
+			s.skipPast(rest, rest[:tagBytes+2], tagBytes+2)
 		} else {
-			s.at++
+			s.pos++
 		}
 	default:
 		return false
@@ -101,112 +106,117 @@
 	return true
 }
 
-func isTag(tag string) bool {
+// isDollarQuoteTag reports whether tag may stand between the dollar signs that delimit a dollar-quoted string; it may be empty.
+func isDollarQuoteTag(tag string) bool {
 	for i := range len(tag) {
-		if !isPart(tag[i]) || tag[i] == '$' || i == 0 && tag[0] >= '0' && tag[0] <= '9' {
+		if !isNameByte(tag[i]) || tag[i] == '$' || i == 0 && tag[0] >= '0' && tag[0] <= '9' {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *scanner) past(rest, end string, from int) {
-	if n := strings.Index(rest[from:], end); n >= 0 {
-		s.at += from + n + len(end)
+// skipPast moves past the first terminator at or after offset in rest, which is the text from the current position on, or to the end
+// of the text if there is none.
+func (s *scanner) skipPast(rest, terminator string, offset int) {
+	if index := strings.Index(rest[offset:], terminator); index >= 0 {
+		s.pos += offset + index + len(terminator)
 	} else {
-		s.at = len(s.text)
+		s.pos = len(s.text)
 	}
 }
 
-// comment passes a block comment; such comments may hold others.
-func (s *scanner) comment() {
+// skipBlockComment moves past a block comment, which may contain nested ones.
+func (s *scanner) skipBlockComment() {
 	depth := 0
-	for ; s.at < len(s.text); s.at++ {
-		switch rest := s.text[s.at:]; {
+	for ; s.pos < len(s.text); s.pos++ {
+		switch rest := s.text[s.pos:]; {
 		case strings.HasPrefix(rest, "/*"):
 			depth++
-			s.at++
+			s.pos++
 		case strings.HasPrefix(rest, "*/"):
-			s.at++
+			s.pos++
 			if depth--; depth == 0 {
-				s.at++
+				s.pos++
 				return
 			}
 		}
 	}
 }
 
-// quoted reads up to the closing mark; a doubled one stands for itself.
-func (s *scanner) quoted(mark byte, escapes bool) string {
-	var b strings.Builder
-	for s.at++; s.at < len(s.text); s.at++ {
-		switch ch := s.text[s.at]; {
+// readQuoted reads a quoted string or name and returns its content. A doubled quote stands for one quote. With escapes, a backslash
+// escapes the next character; both are left out of the content.
+func (s *scanner) readQuoted(quote byte, escapes bool) string {
+	var content strings.Builder
+	for s.pos++; s.pos < len(s.text); s.pos++ {
+		switch ch := s.text[s.pos]; {
 		case ch == '\\' && escapes:
-			s.at++
-		case ch == mark && s.at+1 < len(s.text) && s.text[s.at+1] == mark:
-			s.at++
-			b.WriteByte(ch)
-		case ch == mark:
-			s.at++
-			return b.String()
+			s.pos++
+		case ch == quote && s.pos+1 < len(s.text) && s.text[s.pos+1] == quote:
+			s.pos++
+			content.WriteByte(ch)
+		case ch == quote:
+			s.pos++
+			return content.String()
 		default:
-			b.WriteByte(ch)
+			content.WriteByte(ch)
 		}
 	}
-	s.at = len(s.text)
-	return b.String()
+	s.pos = len(s.text)
+	return content.String()
 }
 
-func isPart(ch byte) bool {
+// isNameByte reports whether ch may be part of an unquoted name. Bytes of non-ASCII characters may.
+func isNameByte(ch byte) bool {
 	return ch == '_' || ch == '$' || ch >= '0' && ch <= '9' || ch >= 'a' && ch <= 'z' || ch >= 'A' && ch <= 'Z' ||
 		ch >= 0x80
 }
 
-// name gives the next name, quoted or not.
-func (s *scanner) name() (word string, quoted, ok bool) {
-	for s.at < len(s.text) {
-		ch := s.text[s.at]
+// nextName returns the next name or keyword; ok is false at the end of the text.
+func (s *scanner) nextName() (word string, quoted, ok bool) {
+	for s.pos < len(s.text) {
+		ch := s.text[s.pos]
 		switch {
-		case s.skip():
+		case s.skipStringOrComment():
 		case ch == '"' || ch == '`':
-			return s.quoted(ch, false), true, true
-		case ch >= '0' && ch <= '9': // a number, with what hangs on it
-			for s.at < len(s.text) && (isPart(s.text[s.at]) || s.text[s.at] == '.') {
-				s.at++
+			return s.readQuoted(ch, false), true, true
+		case ch >= '0' && ch <= '9': // a number, with any letters attached to it
+			for s.pos < len(s.text) && (isNameByte(s.text[s.pos]) || s.text[s.pos] == '.') {
+				s.pos++
 			}
-		case isPart(ch):
-			from := s.at
-			for s.at < len(s.text) && isPart(s.text[s.at]) {
-				s.at++
+		case isNameByte(ch):
+			start := s.pos
+			for s.pos < len(s.text) && isNameByte(s.text[s.pos]) {
+				s.pos++
 			}
-			if s.at < len(s.text) && s.text[s.at] == '\'' && s.at-from == 1 {
-				continue // the mark before a string
+			if s.pos < len(s.text) && s.text[s.pos] == '\'' && s.pos-start == 1 {
+				continue // the prefix of a string, such as E
 			}
-			return s.text[from:s.at], false, true
+			return s.text[start:s.pos], false, true
 		default:
-			s.at++
+			s.pos++
 		}
 	}
 	return "", false, false
 }
 
-// dot passes a dot, with room and comments round it.
-func (s *scanner) dot() bool {
-	at := s.at
-	for s.at < len(s.text) {
-		switch ch := s.text[s.at]; {
+// acceptDot moves past a dot and any white space and comments before it. If no dot follows, it reports false and does not move.
+func (s *scanner) acceptDot() bool {
+	start := s.pos
+	for s.pos < len(s.text) {
+		switch ch := s.text[s.pos]; {
 		case ch == '.':
-			s.at++
+			s.pos++
 			return true
 		case ch == ' ' || ch == '\t' || ch == '\n' || ch == '\r':
-			s.at++
-		case strings.HasPrefix(s.text[s.at:], "--") || strings.HasPrefix(s.text[s.at:], "/*"):
-			s.skip()
+			s.pos++
+		case strings.HasPrefix(s.text[s.pos:], "--") || strings.HasPrefix(s.text[s.pos:], "/*"):
+			s.skipStringOrComment()
 		default:
-			s.at = at
+			s.pos = start
 			return false
 		}
 	}
-	s.at = at
+	s.pos = start
 	return false
 }
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -23,7 +23,7 @@
 		"":                                                              -1,
 	} {
 		if got := Group(text); got != want {
-			t.Errorf("%s: %d, wanted %d", text, got, want)
+			t.Errorf("%s: group %d, want %d", text, got, want)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 	f.Add("$$ E'\\' /* ")
 	f.Fuzz(func(t *testing.T, text string) {
 		if Group(text) < -1 {
-			t.Fatal("no group")
+			t.Fatal("group is below -1")
 		}
 	})
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,4 +1,4 @@
-// Package status tells on a local socket what a running instance knows, as JSON, to whoever may open it.
+// Package status serves the state of a running instance as JSON on a local Unix socket, and reads it from there.
 package status
 
 import (
@@ -10,48 +10,49 @@
 	"time"
 )
 
-// patience is for one answer.
-const patience = 2 * time.Second
+// connectionTimeout limits a connection attempt, and each exchange on a connection.
+const connectionTimeout = 2 * time.Second
 
-// Serve answers each connection with what tell gives, until the listener is closed. A socket that a process before left
-// behind is replaced, one that somebody serves is not.
-func Serve(path string, tell func() any) (net.Listener, error) {
-	if conn, err := net.DialTimeout("unix", path, patience); err == nil {
+// Serve listens on a Unix socket at path and answers each connection with the JSON encoding of what snapshot returns, until the
+// listener is closed. It replaces a stale socket that an earlier process left behind, and fails if another process serves it.
+// The socket's mode is set to 0600.
+func Serve(path string, snapshot func() any) (net.Listener, error) {
+	if conn, err := net.DialTimeout("unix", path, connectionTimeout); err == nil {
 		conn.Close()
-		return nil, fmt.Errorf("status socket %s: another process serves it", path)
+		return nil, fmt.Errorf("status socket %s is in use by another process", path)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		_ = os.Remove(path)
 	}
-	ln, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("status socket: %w", err)
 	}
 	_ = os.Chmod(path, 0o600)
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			} else if err != nil {
-				time.Sleep(10 * time.Millisecond) // descriptors are short for the moment
+				time.Sleep(10 * time.Millisecond) // the process may be out of file descriptors for the moment
 				continue
 			}
-			_ = conn.SetDeadline(time.Now().Add(patience))
-			_ = json.NewEncoder(conn).Encode(tell()) // one at a time, so that asking costs little
+			_ = conn.SetDeadline(time.Now().Add(connectionTimeout))
+			_ = json.NewEncoder(conn).Encode(snapshot()) // one connection at a time, so that status requests cost little
 			conn.Close()
 		}
 	}()
-	return ln, nil
+	return listener, nil
 }
 
-// Ask reads what an instance tells.
-func Ask(path string, into any) error {
-	conn, err := net.DialTimeout("unix", path, patience)
+// Ask connects to the status socket of a running instance and decodes its state into dst.
+func Ask(path string, dst any) error {
+	conn, err := net.DialTimeout("unix", path, connectionTimeout)
 	if err != nil {
 		return fmt.Errorf("status socket: %w", err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	return json.NewDecoder(conn).Decode(into)
+	_ = conn.SetDeadline(time.Now().Add(connectionTimeout))
+	return json.NewDecoder(conn).Decode(dst)
 }
