--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -31,7 +31,8 @@
 // does not parse them again. The zero value is the start of a response.
 type Progress struct{ offset, bodyBytes int }
 
-// maxResponses bounds the responses to one request: the interim (1xx) ones and the final one together.
+// maxResponses bounds the responses to one request: the interim (1xx) ones and the final one together. Next fails if the final one is not
+// among them.
 const maxResponses = 16
 
 // Next decodes the first final response in data, after any interim (1xx) ones; closed tells that no more bytes will follow. size is
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -13,7 +13,7 @@
 		body            string
 		closeAfter, bad bool
 	}{
-		{name: "content length", data: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", status: 200, body: "{}"},
+		{name: "length", data: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", status: 200, body: "{}"},
 		{name: "chunked body", data: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\n{\r\n1\r\n}\r\n0\r\nA: b\r\n\r\n",
 			status: 200, body: "{}"},
 		{name: "body ends with the connection", data: "HTTP/1.0 200 OK\r\n\r\n{}", closed: true, status: 200, body: "{}", closeAfter: true},
--- a/internal/mongowire/mongowire.go
+++ b/internal/mongowire/mongowire.go
@@ -1,6 +1,6 @@
-// Package mongowire reads and writes the messages of the MongoDB wire protocol over bytes, in place and without I/O, by
-// the published description of the protocol: the header, and OP_MSG with its sections and its checksum. Documents are
-// only cut out, not looked into.
+// Package mongowire encodes and decodes messages of the MongoDB wire protocol in byte slices, without I/O. It follows the
+// published description of the protocol, and covers the header and OP_MSG with its sections and checksum. BSON documents are
+// passed on as bytes; only their length and final zero byte are checked.
 package mongowire
 
 import (
@@ -11,44 +11,47 @@
 	"hash/crc32"
 )
 
-// The operations of a header that are known here.
+// The operation codes of a header that this package names, and the size of the header in bytes.
 const (
-	OpQuery      = 2004 // for the first hello only
+	OpQuery      = 2004 // only for the first hello of a connection
 	OpCompressed = 2012
 	OpMsg        = 2013
 	HeaderBytes  = 16
 )
 
-// MostSize is the protocol's bound on a message in bytes, header and all; a hello tells it as maxMessageSizeBytes.
+// MaxMessageBytes is the protocol's limit on the size of a message, including its header. Servers announce it as maxMessageSizeBytes
+// in the response to hello.
 const MaxMessageBytes = 48_000_000
 
-// leastDocument is an empty document: its length and the end.
+// minDocumentBytes is the size of an empty document: its length in four bytes and a zero byte.
 const minDocumentBytes = 5
 
-// Flags of an OP_MSG. The lower sixteen bits must be understood by whoever reads them.
+// Flags are the flag bits of an OP_MSG. A receiver must reject a message with an unknown flag in the lower sixteen bits.
 type Flags uint32
 
 const (
 	ChecksumPresent Flags = 1 << 0
-	MoreToCome      Flags = 1 << 1  // no answer is wanted, or another one follows
-	ExhaustAllowed  Flags = 1 << 16 // an answer may be followed by more without a request for each
+	MoreToCome      Flags = 1 << 1  // in a request: no response is expected; in a response: another one follows
+	ExhaustAllowed  Flags = 1 << 16 // the response may be followed by more without further requests
 )
 
+// requiredFlags are the bits that a receiver must know to accept a message.
 const requiredFlags Flags = 0xffff
 
-// Header is what each message begins with.
+// Header is the header of a message.
 type Header struct {
-	Size       int // of the whole message in bytes, 16 to MostSize
+	Size       int // of the message including the header, in bytes: HeaderBytes to MaxMessageBytes
 	RequestID  int32
-	ResponseTo int32 // the request that this answers, or 0
+	ResponseTo int32 // request ID of the request that this message responds to, or 0
 	OpCode     int32
 }
 
-// ErrSize tells that a message is shorter than its header or longer than the bound; what follows can't be read.
-var ErrSize = errors.New("size of message out of range")
+// ErrSize reports a message size below that of the header or above the limit. The rest of the stream can't be decoded.
+var ErrSize = errors.New("message size out of range")
 
-// Next splits the first message off data, whose body is a part of data. Its header's Size is 0 while more bytes are
-// needed; a size out of range is told as soon as it can be read, before anything of the message is kept.
+// Next decodes the header of the first message in data and returns its body, which shares memory with data. header.Size is 0 while
+// more bytes are needed. A message may have at most maxBytes bytes, and never more than MaxMessageBytes. A size out of range is
+// reported as soon as its four bytes are there, so that the caller need not buffer the message.
 func Next(data []byte, maxBytes int) (header Header, body []byte, err error) {
 	if len(data) < 4 {
 		return Header{}, nil, nil
@@ -64,19 +67,19 @@
 	return Header{int(size), int32At(4), int32At(8), int32At(12)}, data[HeaderBytes:size], nil
 }
 
-// The faults of an OP_MSG.
+// Errors of ParseMsg.
 var (
-	ErrFlags    = errors.New("required flag not known")
-	ErrChecksum = errors.New("checksum does not fit")
-	ErrSection  = errors.New("faulty section")
+	ErrFlags    = errors.New("unknown required flag in OP_MSG")
+	ErrChecksum = errors.New("OP_MSG checksum mismatch")
+	ErrSection  = errors.New("malformed OP_MSG section")
 )
 
-// Msg reads the body of an OP_MSG, which is part of the message given whole for its checksum. It gives the flags and
-// the one command document, and hands over each document of the sequences, if any, with the name of its sequence. All
-// of it is checked to fit together before anything is handed over.
+// ParseMsg decodes an OP_MSG, given with its header, as the checksum covers it. It returns the flags and the command document, and
+// calls visit, if not nil, with each document of the document sequences and the name of its sequence. It validates all sections
+// before the first call of visit.
 func ParseMsg(message []byte, visit func(sequence []byte, document []byte)) (flags Flags, command []byte, err error) {
 	if len(message) < HeaderBytes+4 {
-		return 0, nil, fmt.Errorf("%w: no flags", ErrSection)
+		return 0, nil, fmt.Errorf("%w: message ends before the flags", ErrSection)
 	}
 	flags = Flags(binary.LittleEndian.Uint32(message[HeaderBytes:]))
 	if unknown := flags & requiredFlags &^ (ChecksumPresent | MoreToCome); unknown != 0 {
@@ -85,7 +88,7 @@
 	body := message[HeaderBytes+4:]
 	if flags&ChecksumPresent != 0 {
 		if len(body) < 4 {
-			return flags, nil, fmt.Errorf("%w: none is there", ErrChecksum)
+			return flags, nil, fmt.Errorf("%w: checksum is missing", ErrChecksum)
 		}
 		end := len(message) - 4
 		if crc32.Checksum(message[:end], castagnoli) != binary.LittleEndian.Uint32(message[end:]) {
@@ -102,6 +105,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// parseSections decodes the sections of an OP_MSG and returns the command document. visit may be nil.
 func parseSections(body []byte, visit func(sequence, document []byte)) (command []byte, err error) {
 	for len(body) > 0 {
 		kind := body[0]
@@ -113,22 +117,22 @@
 				return nil, err
 			}
 			if command != nil {
-				return nil, fmt.Errorf("%w: two commands", ErrSection)
+				return nil, fmt.Errorf("%w: more than one command document", ErrSection)
 			}
 			command = document
 		case 1:
 			if len(body) < 4 {
-				return nil, fmt.Errorf("%w: a sequence without a size", ErrSection)
+				return nil, fmt.Errorf("%w: message ends before the size of a document sequence", ErrSection)
 			}
 			size := int64(int32(binary.LittleEndian.Uint32(body)))
 			if size < 5 || size > int64(len(body)) {
-				return nil, fmt.Errorf("%w: a sequence of %d bytes", ErrSection, size)
+				return nil, fmt.Errorf("%w: document sequence has an invalid size of %d bytes", ErrSection, size)
 			}
 			sequence := body[4:size]
 			body = body[size:]
 			end := bytes.IndexByte(sequence, 0)
 			if end < 1 {
-				return nil, fmt.Errorf("%w: a sequence without a name", ErrSection)
+				return nil, fmt.Errorf("%w: document sequence has no name", ErrSection)
 			}
 			name, rest := sequence[:end], sequence[end+1:]
 			for len(rest) > 0 {
@@ -141,34 +145,35 @@
 				}
 			}
 		default:
-			return nil, fmt.Errorf("%w: kind %d", ErrSection, kind)
+			return nil, fmt.Errorf("%w: unknown section kind %d", ErrSection, kind)
 		}
 	}
 	if command == nil {
-		return nil, fmt.Errorf("%w: no command", ErrSection)
+		return nil, fmt.Errorf("%w: no command document", ErrSection)
 	}
 	return command, nil
 }
 
-// cut splits the first document off.
+// cutDocument splits data after its first document.
 func cutDocument(data []byte) (document, rest []byte, err error) {
 	if len(data) < minDocumentBytes {
-		return nil, nil, fmt.Errorf("%w: half a document", ErrSection)
+		return nil, nil, fmt.Errorf("%w: truncated document", ErrSection)
 	}
 	size := int64(int32(binary.LittleEndian.Uint32(data)))
 	if size < minDocumentBytes || size > int64(len(data)) || data[size-1] != 0 {
-		return nil, nil, fmt.Errorf("%w: a document of %d bytes", ErrSection, size)
+		return nil, nil, fmt.Errorf("%w: document has an invalid size of %d bytes or no final zero byte", ErrSection, size)
 	}
 	return data[:size], data[size:], nil
 }
 
-// Sequence is a named list of documents, one behind the other.
+// Sequence is a document sequence: a named list of documents.
 type Sequence struct {
 	Name      string
 	Documents [][]byte
 }
 
-// AppendMsg appends an OP_MSG with a command and its sequences, and its checksum where the flags say so.
+// AppendMsg appends an OP_MSG with its header, a command document and document sequences, and a checksum if flags has
+// ChecksumPresent.
 func AppendMsg(dst []byte, requestID, responseTo int32, flags Flags, command []byte, sequences ...Sequence) []byte {
 	start := len(dst)
 	dst = append(dst, make([]byte, HeaderBytes)...)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -98,7 +98,7 @@
 	Pairs(list, ',', '=', visit)
 }
 
-// Pairs calls visit with each pair of a list, whose pairs are parted by pairSeparator and whose names and values by
+// Pairs calls visit with each pair of a list, whose pairs are separated by pairSeparator, and whose names and values by
 // valueSeparator. It skips elements without a valueSeparator.
 func Pairs(list []byte, pairSeparator, valueSeparator byte, visit func(name, value []byte)) {
 	for len(list) > 0 {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,5 @@
-// Package simwire puts controllers on the simulator's wire: a batch of events a line in, a reply a line out.
+// Package simwire runs controllers under a simulator. It reads batches of events, one JSON object a line, passes the events on to the
+// controllers, and answers each batch with one line that lists the decisions of the controllers.
 package simwire
 
 import (
@@ -12,14 +13,17 @@
 	"yarrowbarrow/logic"
 )
 
+// event is one event of a batch, or one row of an engine list: an array of values in a fixed order.
 type event []json.RawMessage
 
-// fields reads one row's values in order of their place and keeps the first error.
+// valueReader decodes the values of an event or row by their index and keeps the first error. A value beyond the end of the array reads
+// as the zero value.
 type valueReader struct {
 	values event
 	err    error
 }
 
+// decode decodes the value at index into dst. name is that of the field in error messages.
 func (r *valueReader) decode(index int, name string, dst any) {
 	if r.err != nil || index >= len(r.values) {
 		return
@@ -41,7 +45,7 @@
 
 func (r *valueReader) boolean(index int, name string) (b bool) { r.decode(index, name, &b); return }
 
-// customer is a name, and 0 or absent where there are none.
+// customer returns the name of a customer, or "" if the value is 0 or absent.
 func (r *valueReader) customer(index int, name string) logic.CustomerID {
 	if index < len(r.values) && string(r.values[index]) == "0" {
 		return ""
@@ -49,7 +53,8 @@
 	return logic.CustomerID(r.str(index, name))
 }
 
-// instance is one controller and its host; replies is the batch's common list of decisions.
+// instance is one controller and its logic.Host, which records each call as a decision. decisions points to the list that all
+// instances of a batch share.
 type instance struct {
 	id         int64
 	controller *logic.Controller
@@ -57,6 +62,7 @@
 	decisions  *[][]any
 }
 
+// decide records a decision of this instance.
 func (i *instance) decide(name string, values ...any) {
 	*i.decisions = append(*i.decisions, append([]any{name, i.id}, values...))
 }
@@ -82,7 +88,8 @@
 func (i *instance) Suspects(logic.EngineID, bool)                      {}
 func (i *instance) Log(line string)                                    { i.decide("print", line) }
 
-// process hosts many instances; they share nothing but the pipe and the numbered lists of the wire.
+// simulatorHost hosts the controller instances. They share only the input, the output and the engine lists, which events refer to by
+// number.
 type simulatorHost struct {
 	instances   map[int64]*instance
 	engineLists map[int64][]event
@@ -90,7 +97,8 @@
 	stderr      io.Writer
 }
 
-// Run answers batches until the input ends.
+// Run answers batches from in until its end, or until an input can't be decoded. It warns on stderr of events that it skips and of
+// values that it ignores.
 func Run(in io.Reader, out, stderr io.Writer) error {
 	host := &simulatorHost{instances: map[int64]*instance{}, engineLists: map[int64][]event{}, stderr: stderr}
 	reader := bufio.NewReaderSize(in, 1<<20)
@@ -135,11 +143,12 @@
 	}
 }
 
-// width is the number of values of each event, the name among them.
+// maxValues is the number of values that are read of each event, including the name.
 var maxValues = map[string]int{"init": 4, "snapshot_rows": 3, "discovery": 5, "new_request": 11,
 	"timed_out_client": 3, "halt": 2, "fired": 3, "status_back": 6, "signal": 7, "closed_attempt": 10,
 	"whisper": 4, "accepted": 6}
 
+// handleEvent handles one event of a batch. A panic of a controller becomes a decision named exception.
 func (h *simulatorHost) handleEvent(now time.Duration, row event) error {
 	fields := &valueReader{values: row}
 	name := fields.str(0, "name")
@@ -181,6 +190,7 @@
 	return withEventName(name, h.deliver(target, now, name, fields))
 }
 
+// withEventName prefixes an error with the name of the event.
 func withEventName(name string, err error) error {
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -188,6 +198,7 @@
 	return nil
 }
 
+// startInstance starts a controller with the seed and settings of an init event, in place of any with the same ID.
 func (h *simulatorHost) startInstance(id int64, fields *valueReader) error {
 	var seed uint64
 	fields.decode(2, "salt", &seed)
@@ -207,6 +218,7 @@
 	return nil
 }
 
+// outcomeByCode maps the simulator's codes for the end of an attempt to outcomes.
 var outcomeByCode = map[string]logic.Outcome{"S": logic.Done, "E": logic.Errored, "F": logic.TurnedAway,
 	"T": logic.TimedOut, "C": logic.NoConnection, "R": logic.ConnectionLost, "X": logic.Recalled,
 	"N": logic.NotSent}
@@ -220,6 +232,7 @@
 	return outcome
 }
 
+// load decodes an engine's statistics, whose values are in the order of columns. A statistic that is absent is -1.
 func (r *valueReader) load(index int, columns []string) logic.Load {
 	load := logic.Load{Util: -1, Waiting: -1, MemoryGranted: -1}
 	var values []*float64
@@ -240,6 +253,7 @@
 	return load
 }
 
+// deliver decodes the values of an event and calls the controller, unless a value can't be decoded.
 func (h *simulatorHost) deliver(target *instance, now time.Duration, name string, fields *valueReader) error {
 	jobField := func() logic.JobID { return logic.JobID(fields.str(2, "id")) }
 	engineField := func(index int) logic.EngineID { return logic.EngineID(fields.str(index, "executor")) }
@@ -252,7 +266,7 @@
 		key, expires := logic.Key(fields.str(5, "order_key")), fields.duration(6, "expires")
 		cost, memoryMB := fields.duration(7, "plan_cost"), fields.float(8, "need_mb")
 		tables, flags := logic.Tables(fields.float(9, "table_group")), fields.integer(10, "flags")
-		if flags&1 == 0 {
+		if flags&1 == 0 { // without bit 0 the cost is unknown
 			cost = 0
 		}
 		call = func() {
@@ -275,6 +289,7 @@
 	case "closed_attempt":
 		job, attempt, engine, outcome := jobField(), int(fields.integer(3, "go")), engineField(4), fields.outcome(5)
 		elapsed, complete, note := fields.duration(6, "wait_time"), fields.boolean(7, "complete"), fields.integer(8, "note")
+		// note holds the work in milliseconds, and in its lower 12 bits the memory in units of 4 MB.
 		work, memoryMB := time.Duration(note/4096)*time.Millisecond, float64(note%4096)*4
 		load := fields.load(9, target.columns)
 		call = func() {
@@ -293,6 +308,7 @@
 	return fields.err
 }
 
+// applyEngineList passes the engine list that a discovery event refers to on to the controller.
 func (h *simulatorHost) applyEngineList(target *instance, now time.Duration, fields *valueReader) error {
 	mode := fields.str(2, "how")
 	kind, known := map[string]logic.ListKind{"changes": logic.ListChanges, "all": logic.ListWhole,
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -10,11 +10,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestWire feeds each kept input and compares replies, complaints and the end with the kept ones.
+// TestWire runs each testdata/*.in and compares the replies, the warnings and the final error with the .out file of the same name.
 func TestWire(t *testing.T) {
 	inputs, err := filepath.Glob("testdata/*.in")
 	if err != nil || len(inputs) == 0 {
-		t.Fatal("no inputs", err)
+		t.Fatal("no inputs in testdata", err)
 	}
 	for _, input := range inputs {
 		t.Run(filepath.Base(input), func(t *testing.T) {
@@ -33,7 +33,7 @@
 				t.Fatal(err, "\n"+got)
 			}
 			if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(got, "\n")); diff != "" {
-				t.Error("(-kept +now):\n" + diff)
+				t.Error("(-want +got):\n" + diff)
 			}
 		})
 	}
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// Group returns the number after the last underscore in the schema name of the first table in the statement, or -1 if there is none.
-// A qualified name after a keyword that introduces tables takes precedence over an earlier one, which may be a column's.
+// Group returns the number after the last underscore in the name of a table's schema, or -1 if no schema has one. The first table
+// whose schema has such a number decides. A qualified name after a keyword that introduces tables takes precedence over an
+// earlier one elsewhere, which may be a column's.
 func Group(text string) int64 {
 	s := scanner{text: text}
 	firstGroup, tableExpected := int64(-1), false
