--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -266,7 +266,7 @@
 		key, expires := logic.Key(fields.str(5, "order_key")), fields.duration(6, "expires")
 		cost, memoryMB := fields.duration(7, "plan_cost"), fields.float(8, "need_mb")
 		tables, flags := logic.Tables(fields.float(9, "table_group")), fields.integer(10, "flags")
-		if flags&1 == 0 { // without bit 0 the cost is unknown
+		if flags&1 == 0 { // plan_cost counts only if bit 0 is set
 			cost = 0
 		}
 		call = func() {
