--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -32,7 +32,7 @@
 	MaxLength = 262144
 )
 
-var errLength = errors.New("frame length out of range")
+var errLength = errors.New("length out of range")
 
 // Next decodes the first frame in data. size is the number of bytes that the frame takes, or 0 while more bytes are needed. payload
 // shares memory with data.
@@ -50,7 +50,7 @@
 	return data[4], binary.BigEndian.Uint32(data[5:]), data[HeadSize:size], size, nil
 }
 
-var errTruncatedFields = errors.New("payload ends within its fields")
+var errTruncatedFields = errors.New("fields end early")
 
 // Fields calls visit with each field of a payload and returns the body, which follows the fields. All of them share memory with
 // payload.
