--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -1,6 +1,7 @@
-// Package baseline holds the plain policies that the decision module is measured against. Each sends a job at once to an
-// engine of the list that the rules allow, and once more when it provably never ran; none holds a job, learns anything or
-// turns one away by itself. They keep the rules on placement, drains and repeats, not those on cold engines and order.
+// Package baseline provides plain load balancing policies that the decision module is compared with. Each sends a job at once to a
+// listed engine that the rules allow, and retries it on failures that prove that it never ran. None queues jobs, learns from
+// answers or sheds load by itself. They keep the rules on placement, draining and repeated execution, but not those on cold engines
+// and ordering.
 package baseline
 
 import (
@@ -13,52 +14,52 @@
 	"yarrowbarrow/logic"
 )
 
-// Names of the policies.
+// Names lists the policies, except those that break a rule (see broken.go).
 var Names = []string{"random", "round-robin", "least-outstanding", "two-choices"}
 
-// New gives the constructor of a policy by its name.
+// New returns the constructor of the named policy: one of Names, or one that breaks a rule, such as "without-rule-1".
 func New(name string) (func(logic.Host, logic.Settings, int64) logic.Module, error) {
 	var pick func(*policy, []*engine) *engine
 	switch name {
 	case "random":
-		pick = func(p *policy, from []*engine) *engine { return from[p.rng.Intn(len(from))] }
+		pick = func(p *policy, candidates []*engine) *engine { return candidates[p.rng.Intn(len(candidates))] }
 	case "round-robin":
-		pick = func(p *policy, from []*engine) *engine {
-			p.turn++
-			return from[p.turn%len(from)]
+		pick = func(p *policy, candidates []*engine) *engine {
+			p.nextEngine++
+			return candidates[p.nextEngine%len(candidates)]
 		}
 	case "least-outstanding":
-		pick = func(p *policy, from []*engine) *engine {
-			first := p.rng.Intn(len(from)) // or all would begin with the same
-			best := from[first]
-			for n := range from {
-				if e := from[(first+n)%len(from)]; e.out < best.out {
+		pick = func(p *policy, candidates []*engine) *engine {
+			start := p.rng.Intn(len(candidates)) // random, as ties would otherwise all go to the same engine
+			best := candidates[start]
+			for n := range candidates {
+				if e := candidates[(start+n)%len(candidates)]; e.inFlight < best.inFlight {
 					best = e
 				}
 			}
 			return best
 		}
 	case "two-choices":
-		pick = func(p *policy, from []*engine) *engine {
-			a, b := from[p.rng.Intn(len(from))], from[p.rng.Intn(len(from))]
-			if b.out < a.out {
+		pick = func(p *policy, candidates []*engine) *engine {
+			a, b := candidates[p.rng.Intn(len(candidates))], candidates[p.rng.Intn(len(candidates))]
+			if b.inFlight < a.inFlight {
 				return b
 			}
 			return a
 		}
 	default:
-		if module := broken(name); module != nil {
+		if module := newRuleBreaker(name); module != nil {
 			return module, nil
 		}
-		return nil, fmt.Errorf("no policy %q, wanted: one of %v", name, Names)
+		return nil, fmt.Errorf("unknown policy %q; want one of %v", name, Names)
 	}
-	return func(host logic.Host, set logic.Settings, seed int64) logic.Module {
-		p := &policy{host: host, set: set, rng: rand.New(rand.NewSource(seed)), pick: pick, engines: map[logic.EngineID]*engine{},
+	return func(host logic.Host, settings logic.Settings, seed int64) logic.Module {
+		p := &policy{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)), pick: pick, engines: map[logic.EngineID]*engine{},
 			jobs: map[logic.JobID]*job{}, classes: map[logic.ClassName]logic.Class{}}
-		for _, t := range set.Classes {
-			p.classes[t.Name] = t
+		for _, class := range settings.Classes {
+			p.classes[class.Name] = class
 		}
-		p.turn = p.rng.Intn(1 << 16) // controllers start at different places
+		p.nextEngine = p.rng.Intn(1 << 16) // random, so that controllers start at different engines
 		return p
 	}, nil
 }
@@ -69,35 +70,35 @@
 	kind     logic.KindName
 	health   logic.Health
 	listed   bool
-	out      int // attempts of this controller
+	inFlight int // attempts of this controller without an outcome yet
 }
 
 type job struct {
-	kind     logic.Class
-	expires  time.Duration
-	place    logic.Placement
-	sent     int
-	out      *engine
-	maybeRan bool
-	ended    bool
+	class     logic.Class
+	expires   time.Duration
+	placement logic.Placement
+	attempts  int     // number of attempts sent
+	engine    *engine // of the current attempt, or nil
+	maybeRan  bool
+	ended     bool // its outcome is decided; no further attempt is made
 }
 
 type policy struct {
-	host    logic.Host
-	set     logic.Settings
-	rng     *rand.Rand
-	pick    func(*policy, []*engine) *engine
-	turn    int
-	engines map[logic.EngineID]*engine
-	order   []*engine // by id, so that no choice depends on a map
-	jobs    map[logic.JobID]*job
-	classes map[logic.ClassName]logic.Class
-	whole   bool
+	host          logic.Host
+	settings      logic.Settings
+	rng           *rand.Rand
+	pick          func(*policy, []*engine) *engine
+	nextEngine    int // round-robin position
+	engines       map[logic.EngineID]*engine
+	sortedEngines []*engine // by ID, so that no choice depends on the iteration order of a map
+	jobs          map[logic.JobID]*job
+	classes       map[logic.ClassName]logic.Class
+	completeList  bool // the list being received names all engines, not only changes
 }
 
 func (p *policy) ListBegins(_ time.Duration, kind logic.ListKind) {
-	p.whole = kind == logic.ListWhole || kind == logic.ListRemembered
-	for _, e := range p.order {
+	p.completeList = kind == logic.ListWhole || kind == logic.ListRemembered
+	for _, e := range p.sortedEngines {
 		e.listed = false
 	}
 }
@@ -108,18 +109,18 @@
 	if e == nil {
 		e = &engine{id: id}
 		p.engines[id] = e
-		p.order = append(p.order, e)
-		slices.SortFunc(p.order, func(a, b *engine) int { return cmp.Compare(a.id, b.id) })
+		p.sortedEngines = append(p.sortedEngines, e)
+		slices.SortFunc(p.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.id, b.id) })
 	}
 	e.location, e.kind, e.health, e.listed = location, kind, health, true
 }
 
 func (p *policy) ListEnds(time.Duration) {
-	p.order = slices.DeleteFunc(p.order, func(e *engine) bool {
-		if p.whole && !e.listed {
+	p.sortedEngines = slices.DeleteFunc(p.sortedEngines, func(e *engine) bool {
+		if p.completeList && !e.listed {
 			e.health = logic.Gone
 		}
-		gone := e.health == logic.Gone && e.out == 0
+		gone := e.health == logic.Gone && e.inFlight == 0
 		if gone {
 			delete(p.engines, e.id)
 		}
@@ -127,67 +128,67 @@
 	})
 }
 
-func (p *policy) JobTaken(now time.Duration, id logic.JobID, name logic.ClassName, _ logic.CustomerID, _ logic.Key,
-	expires, _ time.Duration, _ float64, _ logic.Tables, _ bool, place logic.Placement) {
-	j := &job{kind: p.classes[name], expires: min(expires, now+p.classes[name].Deadline), place: place}
+func (p *policy) JobTaken(now time.Duration, id logic.JobID, class logic.ClassName, _ logic.CustomerID, _ logic.Key,
+	expires, _ time.Duration, _ float64, _ logic.Tables, _ bool, placement logic.Placement) {
+	j := &job{class: p.classes[class], expires: min(expires, now+p.classes[class].Deadline), placement: placement}
 	p.jobs[id] = j
-	p.send(now, id, j)
+	p.sendAttempt(now, id, j)
 }
 
-func (p *policy) send(now time.Duration, id logic.JobID, j *job) {
-	var from []*engine
-	for _, e := range p.order {
-		if e.health == logic.Up && (len(j.kind.Locations) == 0 || slices.Contains(j.kind.Locations, e.location)) &&
-			(len(j.kind.Kinds) == 0 || slices.Contains(j.kind.Kinds, e.kind)) && (j.place == nil || j.place.Allows(e.id)) {
-			from = append(from, e)
+func (p *policy) sendAttempt(now time.Duration, id logic.JobID, j *job) {
+	var candidates []*engine
+	for _, e := range p.sortedEngines {
+		if e.health == logic.Up && (len(j.class.Locations) == 0 || slices.Contains(j.class.Locations, e.location)) &&
+			(len(j.class.Kinds) == 0 || slices.Contains(j.class.Kinds, e.kind)) && (j.placement == nil || j.placement.Allows(e.id)) {
+			candidates = append(candidates, e)
 		}
 	}
-	if len(from) == 0 || j.sent >= max(p.set.MaxAttempts, 1) || now >= j.expires {
-		p.end(id, j)
+	if len(candidates) == 0 || j.attempts >= max(p.settings.MaxAttempts, 1) || now >= j.expires {
+		p.finish(id, j)
 		return
 	}
-	j.out = p.pick(p, from)
-	j.sent++
-	j.out.out++
-	p.host.Attempt(id, j.out.id, j.expires-now, j.expires-now)
+	j.engine = p.pick(p, candidates)
+	j.attempts++
+	j.engine.inFlight++
+	p.host.Attempt(id, j.engine.id, j.expires-now, j.expires-now)
 }
 
-func (p *policy) end(id logic.JobID, j *job) {
+func (p *policy) finish(id logic.JobID, j *job) {
 	j.ended = true
-	if j.maybeRan && j.kind.Repeat != logic.Idempotent {
+	if j.maybeRan && j.class.Repeat != logic.Idempotent {
 		p.host.Fail(id)
 	} else {
 		p.host.Reject(id, 0)
 	}
-	if j.out == nil {
+	if j.engine == nil {
 		delete(p.jobs, id)
 	}
 }
 
-func (p *policy) AttemptOver(now time.Duration, id logic.JobID, _ int, _ logic.EngineID, o logic.Outcome, _ time.Duration,
-	over bool, _ time.Duration, _ float64, _ logic.Load) {
+func (p *policy) AttemptOver(now time.Duration, id logic.JobID, _ int, _ logic.EngineID, outcome logic.Outcome, _ time.Duration,
+	jobOver bool, _ time.Duration, _ float64, _ logic.Load) {
 	j := p.jobs[id]
-	if j == nil || j.out == nil {
+	if j == nil || j.engine == nil {
 		return
 	}
-	j.out.out--
-	j.out = nil
-	neverRan := o == logic.TurnedAway || o == logic.NoConnection || o == logic.NotSent
+	j.engine.inFlight--
+	j.engine = nil
+	neverRan := outcome == logic.TurnedAway || outcome == logic.NoConnection || outcome == logic.NotSent
 	j.maybeRan = j.maybeRan || !neverRan
 	switch {
-	case over || j.ended || o == logic.Done:
+	case jobOver || j.ended || outcome == logic.Done:
 		delete(p.jobs, id)
 	case neverRan && !j.maybeRan:
-		p.send(now, id, j)
+		p.sendAttempt(now, id, j)
 	default:
-		p.end(id, j)
+		p.finish(id, j)
 	}
 }
 
-func (p *policy) Placed(_ time.Duration, id logic.JobID, place logic.Placement, none bool) {
+func (p *policy) Placed(_ time.Duration, id logic.JobID, placement logic.Placement, noEngine bool) {
 	if j := p.jobs[id]; j != nil {
-		if j.place = place; none && j.out == nil && !j.ended {
-			p.end(id, j)
+		if j.placement = placement; noEngine && j.engine == nil && !j.ended {
+			p.finish(id, j)
 		}
 	}
 }
@@ -195,20 +196,20 @@
 func (p *policy) ClientGone(_ time.Duration, id logic.JobID) {
 	if j := p.jobs[id]; j != nil {
 		j.ended = true
-		if j.out == nil {
+		if j.engine == nil {
 			delete(p.jobs, id)
-		} else if p.set.MayRecall {
-			p.host.Recall(id, j.sent-1)
+		} else if p.settings.MayRecall {
+			p.host.Recall(id, j.attempts-1)
 		}
 	}
 }
 
-// Began lets each attempt begin.
+// Began allows each attempt to begin.
 func (p *policy) Began(time.Duration, logic.JobID) bool { return true }
 
-func (p *policy) Leaving(_, last time.Duration) {
+func (p *policy) Leaving(_, lastExpiry time.Duration) {
 	for _, j := range p.jobs {
-		j.expires = min(j.expires, last)
+		j.expires = min(j.expires, lastExpiry)
 	}
 }
 
--- a/lab/baseline/broken.go
+++ b/lab/baseline/broken.go
@@ -8,62 +8,70 @@
 	"yarrowbarrow/logic"
 )
 
-// drainBreaker sends to engines that drain, and effectBreaker what must not run twice; the core has guards of its own against both.
-const drainBreaker, effectBreaker = "without-rule-3", "without-rule-2"
+// The policy withoutDrainRule sends jobs to draining engines, and withoutRepeatRule repeats jobs that must not run twice. The controller
+// has its own guards against both.
+const withoutDrainRule, withoutRepeatRule = "without-rule-3", "without-rule-2"
 
-// Unguarded tells whether a policy needs the core's own guards taken out as well to break its rule.
-func Unguarded(policy string) bool { return policy == drainBreaker || policy == effectBreaker }
+// Unguarded tells whether a policy can break its rule only if the controller's own guards are disabled as well.
+func Unguarded(policy string) bool { return policy == withoutDrainRule || policy == withoutRepeatRule }
 
-// breakers are the module that serves with one rule's guard taken out each. They are proof that an audit finds what it is
-// for, and serve nobody.
-var breakers = map[string]func(*logic.Settings){
+// settingsChanges maps each policy that breaks one rule to its change of the settings; some policies wrap the host or the module instead.
+// Each is the production module with one rule's guard removed. They are used only to prove that an audit detects violations of the rule.
+var settingsChanges = map[string]func(*logic.Settings){
+	// Rule 1: every job is answered.
 	"without-rule-1": func(*logic.Settings) {},
-	effectBreaker: func(s *logic.Settings) {
-		classes(s, func(t *logic.Class) { t.Repeat = logic.Idempotent })
+	// Rule 2: a job that may have run and must not run twice is not repeated.
+	withoutRepeatRule: func(settings *logic.Settings) {
+		changeClasses(settings, func(class *logic.Class) { class.Repeat = logic.Idempotent })
 	},
-	drainBreaker:     func(*logic.Settings) {},
-	"without-rule-6": func(s *logic.Settings) { classes(s, func(t *logic.Class) { t.Locations, t.Kinds = nil, nil }) },
-	"without-rule-7": func(s *logic.Settings) { s.BudgetWindow = 0 },
+	// Rule 3: no job is sent to a draining engine.
+	withoutDrainRule: func(*logic.Settings) {},
+	// Rule 6: a job is sent only to the locations and kinds of engines that its class allows.
+	"without-rule-6": func(settings *logic.Settings) {
+		changeClasses(settings, func(class *logic.Class) { class.Locations, class.Kinds = nil, nil })
+	},
+	// Rule 7: further attempts stay within a budget.
+	"without-rule-7": func(settings *logic.Settings) { settings.BudgetWindow = 0 },
 }
 
-// classes changes a copy of the classes, as the settings outlive a module.
-func classes(s *logic.Settings, change func(*logic.Class)) {
-	s.Classes = slices.Clone(s.Classes)
-	for n := range s.Classes {
-		change(&s.Classes[n])
+// changeClasses applies change to a copy of the classes, as the settings outlive a module.
+func changeClasses(settings *logic.Settings, change func(*logic.Class)) {
+	settings.Classes = slices.Clone(settings.Classes)
+	for i := range settings.Classes {
+		change(&settings.Classes[i])
 	}
 }
 
-// broken gives the constructor of one of the breakers.
-func broken(name string) func(logic.Host, logic.Settings, int64) logic.Module {
-	change := breakers[name]
+// newRuleBreaker returns the constructor of a policy that breaks one rule, or nil for another name.
+func newRuleBreaker(name string) func(logic.Host, logic.Settings, int64) logic.Module {
+	change := settingsChanges[name]
 	if change == nil {
 		return nil
 	}
-	return func(host logic.Host, set logic.Settings, seed int64) logic.Module {
-		change(&set)
+	return func(host logic.Host, settings logic.Settings, seed int64) logic.Module {
+		change(&settings)
 		switch name {
 		case "without-rule-1":
-			return config.Module(forgetful{host}, set, seed)
-		case drainBreaker:
-			return careless{config.Module(host, set, seed)}
+			return config.Module(rejectDropper{host}, settings, seed)
+		case withoutDrainRule:
+			return drainIgnorer{config.Module(host, settings, seed)}
 		}
-		return config.Module(host, set, seed)
+		return config.Module(host, settings, seed)
 	}
 }
 
-// forgetful never tells a client that its job was turned away.
-type forgetful struct{ logic.Host }
+// rejectDropper drops rejections, so that the client of a rejected job gets no answer.
+type rejectDropper struct{ logic.Host }
 
-func (forgetful) Reject(logic.JobID, time.Duration) {}
+func (rejectDropper) Reject(logic.JobID, time.Duration) {}
 
-// careless takes engines that drain for healthy ones.
-type careless struct{ logic.Module }
+// drainIgnorer reports draining engines to the module as healthy.
+type drainIgnorer struct{ logic.Module }
 
-func (c careless) EngineListed(now time.Duration, id logic.EngineID, location logic.Location, kind logic.KindName, cell logic.Cell,
+func (m drainIgnorer) EngineListed(now time.Duration, id logic.EngineID, location logic.Location, kind logic.KindName, cell logic.Cell,
 	health logic.Health, weight float64, since time.Duration) {
 	if health == logic.Draining {
 		health = logic.Up
 	}
-	c.Module.EngineListed(now, id, location, kind, cell, health, weight, since)
+	m.Module.EngineListed(now, id, location, kind, cell, health, weight, since)
 }
--- a/lab/flood/flood.go
+++ b/lab/flood/flood.go
@@ -1,4 +1,4 @@
-// Package flood has bytes that hostile or broken peers send at full speed, for stand-ins and tests.
+// Package flood provides the traffic of hostile or broken peers, sent at full speed, for stand-ins and tests.
 package flood
 
 import (
@@ -11,45 +11,47 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// Flood is what a peer sends: a beginning, and then the same piece over and over.
+// Flood is the traffic of a peer: a prefix, and then a repeated chunk.
 type Flood struct {
-	Name     string
-	Begin    []byte
-	Piece    []byte
-	Times    int                   // of the piece
-	Next     func(n, k int) []byte // gives piece k of connection n instead, where pieces differ; or nil
-	Unread   bool                  // what is answered is not read
-	Lingers  time.Duration         // the connection stays open for so long after the last piece
-	Deadline time.Duration         // for all of it, 0: ten seconds
+	Name   string
+	Prefix []byte
+	Chunk  []byte
+	Times  int // number of chunks
+	// ChunkAt, if not nil, returns the chunk to send in place of Chunk. Connections are numbered across all floods.
+	ChunkAt  func(connection, index int) []byte
+	Unread   bool          // the peer's answers are not read
+	Lingers  time.Duration // how long the connection stays open after the last chunk
+	Deadline time.Duration // for the whole flood; 0: 10 s
 }
 
-// sent numbers connections of all floods, as requests need ids of their own.
-var sent atomic.Int64
+// connectionCount numbers the connections of all floods, as requests need unique IDs.
+var connectionCount atomic.Int64
 
-// Send writes the flood to a connection, which ends it early by closing.
+// Send writes the flood to conn. It returns early if the peer closes the connection or the deadline passes.
 func (f Flood) Send(conn net.Conn) {
-	number := int(sent.Add(1))
+	connection := int(connectionCount.Add(1))
 	if f.Deadline == 0 {
 		f.Deadline = 10 * time.Second
 	}
-	until := time.Now().Add(f.Deadline)
-	_ = conn.SetWriteDeadline(until)
-	if _, err := conn.Write(f.Begin); err != nil {
+	deadline := time.Now().Add(f.Deadline)
+	_ = conn.SetWriteDeadline(deadline)
+	if _, err := conn.Write(f.Prefix); err != nil {
 		return
 	}
-	for k := range f.Times {
-		piece := f.Piece
-		if f.Next != nil {
-			piece = f.Next(number, k)
+	for index := range f.Times {
+		chunk := f.Chunk
+		if f.ChunkAt != nil {
+			chunk = f.ChunkAt(connection, index)
 		}
-		if _, err := conn.Write(piece); err != nil {
+		if _, err := conn.Write(chunk); err != nil {
 			return
 		}
 	}
-	time.Sleep(min(f.Lingers, time.Until(until)))
+	time.Sleep(min(f.Lingers, time.Until(deadline)))
 }
 
-// Run connects as a client, sends the flood and reads what is answered, unless the flood leaves it unread.
+// Run connects to address, sends the flood and discards the answers, or leaves them unread if Unread is set. The error is that of the
+// connection attempt.
 func (f Flood) Run(address string) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -64,95 +66,97 @@
 }
 
 func discard(conn net.Conn) {
-	for into := make([]byte, 64<<10); ; {
-		if _, err := conn.Read(into); err != nil {
+	for buf := make([]byte, 64<<10); ; {
+		if _, err := conn.Read(buf); err != nil {
 			return
 		}
 	}
 }
 
-const mib = 1 << 20
+const bytesPerMiB = 1 << 20
 
-// repeated is a piece over and over, about a MiB of it.
-func repeated(piece string) []byte {
-	all := make([]byte, 0, mib+len(piece))
-	for len(all) < mib {
-		all = append(all, piece...)
+// repeatToMiB repeats text until it fills at least 1 MiB.
+func repeatToMiB(text string) []byte {
+	data := make([]byte, 0, bytesPerMiB+len(text))
+	for len(data) < bytesPerMiB {
+		data = append(data, text...)
 	}
-	return all
+	return data
 }
 
-// Clients are floods by clients, whose requests are of a class.
+// Clients returns floods by clients, whose requests have the given class.
 func Clients(class string) []Flood {
-	body := make([]byte, 9)
-	binary.BigEndian.PutUint32(body, 60*mib)
-	body[4] = frame.Job
-	gone := repeated(string(frame.AppendHead(nil, frame.Gone, 1, 0)))
-	ready := repeated(string(append(frame.AppendHead(nil, frame.Ready, 1, 1), 0)))
-	jobs := func(size int) func(n, k int) []byte {
+	oversized := make([]byte, 9)
+	binary.BigEndian.PutUint32(oversized, 60*bytesPerMiB)
+	oversized[4] = frame.Job
+	cancels := repeatToMiB(string(frame.AppendHead(nil, frame.Gone, 1, 0)))
+	readinessChecks := repeatToMiB(string(append(frame.AppendHead(nil, frame.Ready, 1, 1), 0)))
+	jobFrames := func(size int) func(connection, index int) []byte {
 		statement := make([]byte, size)
-		for at := range statement {
-			statement[at] = 'x'
+		for i := range statement {
+			statement[i] = 'x'
+		}
+		return func(connection, index int) []byte {
+			return JobFrame(class, uint32(index+1), fmt.Sprintf("%08x%08x", connection, index), statement)
 		}
-		return func(n, k int) []byte { return Job(class, uint32(k+1), fmt.Sprintf("%08x%08x", n, k), statement) }
 	}
-	half := Job(class, 1, "00000000000000ff", make([]byte, 250_000))
+	largeJob := JobFrame(class, 1, "00000000000000ff", make([]byte, 250_000))
 	return []Flood{
-		{Name: "a body of 60 MB", Begin: body, Piece: repeated("x"), Times: 60},
-		{Name: "cancels of nothing", Piece: gone, Times: 8},
-		{Name: "questions whether it is ready", Piece: ready, Times: 6},
-		{Name: "questions, and no answer is read", Piece: ready, Times: 10, Unread: true, Deadline: 3 * time.Second},
-		{Name: "requests of 250 kB", Next: jobs(250_000), Times: 80},
-		{Name: "requests without a statement", Next: jobs(0), Times: 20_000},
-		{Name: "half a request", Begin: half[:len(half)-1], Lingers: time.Second},
-		{Name: "a request and a byte", Begin: half[:len(half):len(half)], Piece: []byte{0}, Times: 1, Lingers: time.Second},
+		{Name: "a body of 60 MB", Prefix: oversized, Chunk: repeatToMiB("x"), Times: 60},
+		{Name: "cancels of unknown jobs", Chunk: cancels, Times: 8},
+		{Name: "readiness checks", Chunk: readinessChecks, Times: 6},
+		{Name: "readiness checks, answers left unread", Chunk: readinessChecks, Times: 10, Unread: true, Deadline: 3 * time.Second},
+		{Name: "requests of 250 kB", ChunkAt: jobFrames(250_000), Times: 80},
+		{Name: "requests without a statement", ChunkAt: jobFrames(0), Times: 20_000},
+		{Name: "a request without its last byte", Prefix: largeJob[:len(largeJob)-1], Lingers: time.Second},
+		{Name: "a request and a stray byte", Prefix: largeJob[:len(largeJob):len(largeJob)], Chunk: []byte{0}, Times: 1, Lingers: time.Second},
 	}
 }
 
-// manyHosts is a MiB of hosts that differ.
-func manyHosts(_, k int) []byte {
-	all := make([]byte, 0, mib+100)
-	for n := 0; len(all) < mib; n++ {
-		all = fmt.Appendf(all, `{"host":"h%d-%d","dial":"127.0.0.1:9","site":"east","class":"std","health":"active"},`, k, n)
+// differingHosts returns about 1 MiB of list entries for hosts that all differ, also between chunks.
+func differingHosts(_, chunk int) []byte {
+	data := make([]byte, 0, bytesPerMiB+100)
+	for host := 0; len(data) < bytesPerMiB; host++ {
+		data = fmt.Appendf(data, `{"host":"h%d-%d","dial":"127.0.0.1:9","site":"east","class":"std","health":"active"},`, chunk, host)
 	}
-	return all
+	return data
 }
 
-// Job is the frame of a request.
-func Job(class string, stream uint32, id string, statement []byte) []byte {
+// JobFrame returns the frame of a request.
+func JobFrame(class string, stream uint32, id string, statement []byte) []byte {
 	fields := [][2]string{{"class", class}, {"id", id}, {"wait", "1000"}}
 	payload := []byte{byte(len(fields))}
-	for _, f := range fields {
-		payload = frame.AppendField(payload, f[0], f[1])
+	for _, field := range fields {
+		payload = frame.AppendField(payload, field[0], field[1])
 	}
 	payload = append(payload, statement...)
 	return append(frame.AppendHead(nil, frame.Job, stream, len(payload)), payload...)
 }
 
-// Engines are floods by engines, on a connection on which a request has come.
+// Engines returns floods by engines, sent on a connection after a request has arrived on it.
 func Engines() []Flood {
 	return []Flood{
-		{Name: "an answer said to have 3 GB", Begin: []byte("*4\r\n$3221225472\r\n"), Piece: repeated("x"), Times: 400},
-		{Name: "noise", Piece: repeated("x"), Times: 400},
-		{Name: "answers to nothing", Piece: repeated("*4\r\n$1\r\nx\r\n$5\r\nFAULT\r\n$1\r\n-\r\n$0\r\n\r\n"), Times: 400},
-		{Name: "probes answered unasked", Piece: repeated("*4\r\n$1\r\nx\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"), Times: 400},
-		{Name: "a long word that does not end", Begin: []byte("*8\r\n$16384\r\n"), Piece: make([]byte, 16_000), Times: 1,
+		{Name: "an answer with a declared length of 3 GB", Prefix: []byte("*4\r\n$3221225472\r\n"), Chunk: repeatToMiB("x"), Times: 400},
+		{Name: "noise", Chunk: repeatToMiB("x"), Times: 400},
+		{Name: "unsolicited answers", Chunk: repeatToMiB("*4\r\n$1\r\nx\r\n$5\r\nFAULT\r\n$1\r\n-\r\n$0\r\n\r\n"), Times: 400},
+		{Name: "unsolicited probe answers", Chunk: repeatToMiB("*4\r\n$1\r\nx\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"), Times: 400},
+		{Name: "a long word that does not end", Prefix: []byte("*8\r\n$16384\r\n"), Chunk: make([]byte, 16_000), Times: 1,
 			Lingers: time.Second},
 	}
 }
 
-// Discoveries are floods by discovery, once it has been asked.
+// Discoveries returns floods by discovery services, sent after a request.
 func Discoveries() []Flood {
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const list = "HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n" + `{"n":9,"events":[{"n":9,"members":{"whole":true,"hosts":[`
 	return []Flood{
-		{Name: "chunks of a byte", Begin: []byte(chunked), Piece: repeated("1\r\nx\r\n"), Times: 100},
-		{Name: "trailers that do not end", Begin: []byte(chunked + "0\r\n"), Piece: repeated("A: b\r\n"), Times: 100},
-		{Name: "interim answers", Piece: repeated("HTTP/1.1 100 C\r\n\r\n"), Times: 100},
-		{Name: "a body without a length", Begin: []byte("HTTP/1.1 200 OK\r\n\r\n"), Piece: repeated("x"), Times: 100},
-		{Name: "answers to nothing", Piece: repeated("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), Times: 100},
-		{Name: "a head that does not end", Begin: []byte("HTTP/1.1 200 OK\r\n"), Piece: repeated("A: b\r\n"), Times: 100},
-		{Name: "a list of many hosts", Begin: []byte(list), Next: manyHosts, Times: 8},
-		{Name: "a list of empty hosts", Begin: []byte(list), Piece: repeated("{},"), Times: 8},
+		{Name: "chunks of a byte", Prefix: []byte(chunked), Chunk: repeatToMiB("1\r\nx\r\n"), Times: 100},
+		{Name: "trailers that do not end", Prefix: []byte(chunked + "0\r\n"), Chunk: repeatToMiB("A: b\r\n"), Times: 100},
+		{Name: "interim answers", Chunk: repeatToMiB("HTTP/1.1 100 C\r\n\r\n"), Times: 100},
+		{Name: "a body without a length", Prefix: []byte("HTTP/1.1 200 OK\r\n\r\n"), Chunk: repeatToMiB("x"), Times: 100},
+		{Name: "unsolicited answers", Chunk: repeatToMiB("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), Times: 100},
+		{Name: "a header that does not end", Prefix: []byte("HTTP/1.1 200 OK\r\n"), Chunk: repeatToMiB("A: b\r\n"), Times: 100},
+		{Name: "a list of many hosts", Prefix: []byte(list), ChunkAt: differingHosts, Times: 8},
+		{Name: "a list of empty hosts", Prefix: []byte(list), Chunk: repeatToMiB("{},"), Times: 8},
 	}
 }
--- a/lab/knownfailures/main.go
+++ b/lab/knownfailures/main.go
@@ -1,10 +1,10 @@
-// Command knownfailures runs the tests and passes over those failures, and only those, that a list names. It prints what the
-// tests print, then each failure that it passed over with its cause.
+// Command knownfailures runs the tests and ignores the failures, and only those, that a list names. It prints the output of the tests,
+// then each ignored failure with its cause.
 //
 //	go run ./lab/knownfailures KNOWN-RED.txt -race ./...
 //
-// The arguments behind the list are those of go test. A package that fails without a failed test (it does not build, it panics
-// between tests, its time is over) is never passed over.
+// The arguments after the list are passed to go test. A package that fails without a failed test (build failure, panic between tests,
+// timeout) is never ignored.
 package main
 
 import (
@@ -18,25 +18,25 @@
 	"strings"
 )
 
-// mostKnown is how many failures a list may name.
-const mostKnown = 3
+// maxKnown is the maximum number of failures in a list.
+const maxKnown = 3
 
-// failure is a line of the list.
-type failure struct{ Test, Cause, Issue string }
+// knownFailure is a line of the list.
+type knownFailure struct{ Test, Cause, Issue string }
 
-// event is what go test -json writes, as far as it is read here.
-type event struct {
+// testEvent holds the fields of a go test -json event that are used here.
+type testEvent struct {
 	Action  string `json:"Action"`
 	Package string `json:"Package"`
 	Test    string `json:"Test"`
 	Output  string `json:"Output"`
 }
 
-// verdict is what a run of the tests came to.
+// verdict is the outcome of a test run.
 type verdict struct {
-	Known   []failure // that were passed over
-	Unknown []string  // tests, and packages that failed without one
-	Passed  []failure // that the list names although they passed or did not run
+	Known      []knownFailure // listed failures that occurred and are ignored
+	Unexpected []string       // unlisted failed tests, and packages that failed without a failed test
+	NotFailed  []knownFailure // listed tests that passed or did not run
 }
 
 func main() {
@@ -59,18 +59,17 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	v, err := judge(out, os.Stdout, known)
-	failed := cmd.Wait() != nil
+	v, err := classify(out, os.Stdout, known)
+	runFailed := cmd.Wait() != nil
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	os.Exit(v.report(os.Stdout, failed))
+	os.Exit(v.report(os.Stdout, runFailed))
 }
 
-// readList reads a list of known failures; one that is not there is empty. Each line is a test, its cause and its issue, with a
-// colon behind each of the first two.
-func readList(path string) ([]failure, error) {
+// readList reads a list of known failures. A missing file is an empty list. Each line has the form "TestName: cause: issue".
+func readList(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -78,78 +77,78 @@
 	if err != nil {
 		return nil, err
 	}
-	var known []failure
+	var known []knownFailure
 	for line := range strings.Lines(string(text)) {
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
 		parts := strings.SplitN(line, ":", 3)
 		if len(parts) != 3 || !strings.HasPrefix(parts[0], "Test") {
-			return nil, fmt.Errorf("%s: %q: TestName: cause: issue is wanted", path, line)
+			return nil, fmt.Errorf("%s: %q: want \"TestName: cause: issue\"", path, line)
 		}
-		known = append(known, failure{parts[0], strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])})
+		known = append(known, knownFailure{parts[0], strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])})
 	}
-	if len(known) > mostKnown {
-		return nil, fmt.Errorf("%s names %d failures, %d at most", path, len(known), mostKnown)
+	if len(known) > maxKnown {
+		return nil, fmt.Errorf("%s lists %d failures, want at most %d", path, len(known), maxKnown)
 	}
 	return known, nil
 }
 
-// judge reads the events of a run, writes what the tests printed and tells known failures from others.
-func judge(events io.Reader, out io.Writer, known []failure) (v verdict, err error) {
-	lines := bufio.NewScanner(events)
-	lines.Buffer(nil, 1<<20)
-	printed := map[string][]string{} // by test, until it is known whether it failed
-	failedIn := map[string]bool{}    // packages with a failed test
-	failed := map[string]bool{}      // names of failed tests
-	for lines.Scan() {
-		var e event
-		if json.Unmarshal(lines.Bytes(), &e) != nil {
-			fmt.Fprintln(out, lines.Text())
+// classify reads the events of a test run, writes the output of failed tests and of packages, and separates known failures from others.
+func classify(events io.Reader, out io.Writer, known []knownFailure) (result verdict, err error) {
+	scanner := bufio.NewScanner(events)
+	scanner.Buffer(nil, 1<<20)
+	outputs := map[string][]string{}    // output by test, kept until the test's result is known
+	failedPackages := map[string]bool{} // packages with a failed test
+	failedTests := map[string]bool{}    // names of failed tests
+	for scanner.Scan() {
+		var event testEvent
+		if json.Unmarshal(scanner.Bytes(), &event) != nil {
+			fmt.Fprintln(out, scanner.Text())
 			continue
 		}
-		key := e.Package + "\n" + e.Test
+		key := event.Package + "\n" + event.Test
 		switch {
-		case e.Action == "output" && e.Test != "":
-			printed[key] = append(printed[key], e.Output)
-		case e.Action == "output":
-			fmt.Fprint(out, e.Output)
-		case e.Action == "fail" && e.Test != "":
-			name, _, _ := strings.Cut(e.Test, "/")
-			failed[name], failedIn[e.Package] = true, true
-			fmt.Fprint(out, strings.Join(printed[key], ""))
-			delete(printed, key)
-			if !slices.ContainsFunc(known, func(f failure) bool { return f.Test == name }) {
-				v.Unknown = append(v.Unknown, e.Package+" "+e.Test)
+		case event.Action == "output" && event.Test != "":
+			outputs[key] = append(outputs[key], event.Output)
+		case event.Action == "output":
+			fmt.Fprint(out, event.Output)
+		case event.Action == "fail" && event.Test != "":
+			name, _, _ := strings.Cut(event.Test, "/")
+			failedTests[name], failedPackages[event.Package] = true, true
+			fmt.Fprint(out, strings.Join(outputs[key], ""))
+			delete(outputs, key)
+			if !slices.ContainsFunc(known, func(f knownFailure) bool { return f.Test == name }) {
+				result.Unexpected = append(result.Unexpected, event.Package+" "+event.Test)
 			}
-		case e.Action == "pass" || e.Action == "skip":
-			delete(printed, key)
-		case e.Action == "fail" && !failedIn[e.Package]:
-			v.Unknown = append(v.Unknown, e.Package)
+		case event.Action == "pass" || event.Action == "skip":
+			delete(outputs, key)
+		case event.Action == "fail" && !failedPackages[event.Package]:
+			result.Unexpected = append(result.Unexpected, event.Package)
 		}
 	}
 	for _, f := range known {
-		if failed[f.Test] {
-			v.Known = append(v.Known, f)
+		if failedTests[f.Test] {
+			result.Known = append(result.Known, f)
 		} else {
-			v.Passed = append(v.Passed, f)
+			result.NotFailed = append(result.NotFailed, f)
 		}
 	}
-	return v, lines.Err()
+	return result, scanner.Err()
 }
 
-// report prints a verdict and gives the exit code: 0 where nothing failed but what is known.
-func (v verdict) report(out io.Writer, failed bool) int {
+// report prints the verdict and returns the exit code: 0 if only known failures occurred, else 1. runFailed tells whether go test failed.
+func (v verdict) report(out io.Writer, runFailed bool) int {
 	for _, f := range v.Known {
 		fmt.Fprintf(out, "known failure: %s: %s (%s)\n", f.Test, f.Cause, f.Issue)
 	}
-	for _, f := range v.Passed {
-		fmt.Fprintf(out, "named as a known failure, and did not fail: %s\n", f.Test)
+	for _, f := range v.NotFailed {
+		fmt.Fprintf(out, "listed as a known failure but did not fail: %s\n", f.Test)
 	}
-	for _, name := range v.Unknown {
+	for _, name := range v.Unexpected {
 		fmt.Fprintf(out, "failed: %s\n", name)
 	}
-	if len(v.Unknown) > 0 || failed && len(v.Known) == 0 {
+	if len(v.Unexpected) > 0 || runFailed && len(v.Known) == 0 {
 		return 1
 	}
 	return 0
--- a/lab/knownfailures/main_test.go
+++ b/lab/knownfailures/main_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestJudge: only failures that the list names are passed over, and a package that fails without a test never is.
+// TestJudge: only failures that the list names are ignored, and a package that fails without a failed test never is.
 func TestJudge(t *testing.T) {
-	known := []failure{{"TestKnown", "cause", "issue 1"}}
+	known := []knownFailure{{"TestKnown", "cause", "issue 1"}}
 	for _, c := range []struct {
 		events string
 		code   int
@@ -21,27 +21,27 @@
 		{`{"Action":"fail","Package":"p","Test":"TestKnown"}` + "\n" + `{"Action":"fail","Package":"p","Test":"TestKnownToo"}`, 1},
 		{`{"Action":"fail","Package":"p","Test":"TestKnown"}` + "\n" + `{"Action":"fail","Package":"q"}`, 1},
 	} {
-		v, err := judge(strings.NewReader(c.events), io.Discard, known)
+		v, err := classify(strings.NewReader(c.events), io.Discard, known)
 		if code := v.report(io.Discard, strings.Contains(c.events, "fail")); err != nil || code != c.code {
 			t.Error(c.events, code, err)
 		}
 	}
-	if v, _ := judge(strings.NewReader(""), io.Discard, known); v.report(io.Discard, true) != 1 {
-		t.Error("a run that failed without a word has passed")
+	if v, _ := classify(strings.NewReader(""), io.Discard, known); v.report(io.Discard, true) != 1 {
+		t.Error("a run that failed without any event was reported as passed")
 	}
 }
 
-// TestReadList: a line each, three at most; no file is an empty list.
+// TestReadList: a list has one failure a line and at most three lines; a missing file is an empty list.
 func TestReadList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if known, err := readList(path); err != nil || len(known) != 0 {
 		t.Error(known, err)
 	}
-	for text, good := range map[string]bool{"TestA: b: c: issue 1\n\n": true, "TestA\n": false, strings.Repeat("TestA: b: c\n", 4): false} {
+	for text, valid := range map[string]bool{"TestA: b: c: issue 1\n\n": true, "TestA\n": false, strings.Repeat("TestA: b: c\n", 4): false} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := readList(path); (err == nil) != good {
+		if _, err := readList(path); (err == nil) != valid {
 			t.Error(text, err)
 		}
 	}
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -1,4 +1,4 @@
-// Package load plays clients that speak the framed protocol, and keeps account of what they are answered.
+// Package load is a load generator: clients that speak the framed protocol, and a mix of jobs with statistics of the answers.
 package load
 
 import (
@@ -15,126 +15,127 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// Job is what a client asks.
+// Job is a request of a client.
 type Job struct {
 	Type, ID, Once, Customer string
 	Wait                     time.Duration
-	CostMS                   float64 // 0: not told
+	CostMS                   float64 // estimated cost; 0: not sent
 	Statement                string
 }
 
-// Answer is what it is told.
+// Answer is the response to a Job.
 type Answer struct {
-	Code  byte          // frame.Done, Rejected or Failed
-	After time.Duration // to stay away, or 0
-	Body  string
-	Took  time.Duration
+	Code       byte          // frame.Done, Rejected or Failed
+	RetryAfter time.Duration // how long the client should wait before a retry, or 0
+	Body       string
+	Took       time.Duration // from sending the job to reading its answer
 }
 
-// Client is one connection. Its methods may be called from anywhere.
+// Client is one connection to a controller. Its methods are safe for concurrent use.
 type Client struct {
 	conn net.Conn
 
-	mu      sync.Mutex
-	last    uint32
-	open    map[uint32]pending
-	left    map[uint32]bool
-	strays  int // answers to what is not open: a second one, or one to nobody
-	err     error
-	drained bool
-	stays   bool // asks on although it was told not to
+	mu               sync.Mutex
+	lastStream       uint32
+	pending          map[uint32]pendingJob
+	cancelled        map[uint32]bool
+	unmatchedAnswers int // answers to no pending job: duplicates, or for a stream that carried no job
+	err              error
+	draining         bool
+	ignoreDraining   bool // keeps sending jobs although the peer asked for no more
 }
 
-type pending struct {
-	id      string
-	sent    time.Time
-	tell    func(Answer, error)
-	crossed bool // the other side had shut the connection by the time all bytes had left
+type pendingJob struct {
+	id         string
+	sentAt     time.Time
+	callback   func(Answer, error)
+	peerClosed bool // the peer had closed the connection by the time the job was written
 }
 
-// ErrCrossed is told of a job whose connection the other side had shut before the job reached it, which its client had not noticed
-// yet: it was never read.
-var ErrCrossed = errors.New("the job crossed the end of its connection")
+// ErrCrossed reports that the peer had closed the connection before the job reached it, which the client had not noticed when it sent
+// the job. The peer never read the job.
+var ErrCrossed = errors.New("peer closed the connection before the job reached it")
 
-// Dial connects.
+// Dial connects to a controller at address and starts to read its frames.
 func Dial(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, open: map[uint32]pending{}, left: map[uint32]bool{}}
-	go c.read()
+	c := &Client{conn: conn, pending: map[uint32]pendingJob{}, cancelled: map[uint32]bool{}}
+	go c.readLoop()
 	return c, nil
 }
 
-// Stay has the client ask on where the other side wants no new job on the connection, until that side ends it.
+// Stay makes the client keep sending jobs after the peer has asked for no new jobs on the connection, until the peer closes it.
 func (c *Client) Stay() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stays = true
+	c.ignoreDraining = true
 }
 
-// Close ends the connection; what is open is told an error.
+// Close closes the connection. The callbacks of pending jobs receive an error.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Strays counts answers that belong to nothing that is open.
+// Strays returns the number of answers that matched no pending or cancelled job.
 func (c *Client) Strays() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.strays
+	return c.unmatchedAnswers
 }
 
-// mostOpen is the protocol's number of streams.
-const mostOpen = 32
+// maxStreams is the protocol's limit on concurrent streams of a connection.
+const maxStreams = 32
 
-// ErrBusy tells that all streams of a connection are in use, or that it takes no more.
-var ErrBusy = errors.New("no stream is free")
+// ErrBusy reports that all streams of a connection are in use, or that the peer has asked for no new jobs on it.
+var ErrBusy = errors.New("no free stream, or the peer accepts no new jobs on the connection")
 
-// Ask sends a job; tell is called once with its answer, or with the error that ended the connection.
-func (c *Client) Ask(j Job, tell func(Answer, error)) error {
-	fields := [][2]string{{"class", j.Type}, {"id", j.ID}, {"wait", strconv.FormatInt(j.Wait.Milliseconds(), 10)}}
-	if j.Once != "" {
-		fields = append(fields, [2]string{"once", j.Once})
+// Ask sends a job. If it returns nil, callback is called once, with the answer or with the error that ended the connection, unless Leave
+// cancels the job first.
+func (c *Client) Ask(job Job, callback func(Answer, error)) error {
+	fields := [][2]string{{"class", job.Type}, {"id", job.ID}, {"wait", strconv.FormatInt(job.Wait.Milliseconds(), 10)}}
+	if job.Once != "" {
+		fields = append(fields, [2]string{"once", job.Once})
 	}
-	if j.Customer != "" {
-		fields = append(fields, [2]string{"customer", j.Customer})
+	if job.Customer != "" {
+		fields = append(fields, [2]string{"customer", job.Customer})
 	}
-	if j.CostMS > 0 {
-		fields = append(fields, [2]string{"cost", strconv.FormatFloat(j.CostMS, 'f', 1, 64)})
+	if job.CostMS > 0 {
+		fields = append(fields, [2]string{"cost", strconv.FormatFloat(job.CostMS, 'f', 1, 64)})
 	}
 	payload := []byte{byte(len(fields))}
 	for _, f := range fields {
 		payload = frame.AppendField(payload, f[0], f[1])
 	}
-	payload = append(payload, j.Statement...)
+	payload = append(payload, job.Statement...)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
 		return c.err
 	}
-	if len(c.open) >= mostOpen || c.drained && !c.stays {
+	if len(c.pending) >= maxStreams || c.draining && !c.ignoreDraining {
 		return ErrBusy
 	}
-	if c.shut() {
+	if c.closedByPeer() {
 		return ErrCrossed
 	}
-	c.last++
-	p := pending{id: j.ID, sent: time.Now(), tell: tell}
-	c.open[c.last] = p
-	// Under the lock, as streams count up on the wire.
-	_, err := c.conn.Write(append(frame.AppendHead(nil, frame.Job, c.last, len(payload)), payload...))
+	c.lastStream++
+	p := pendingJob{id: job.ID, sentAt: time.Now(), callback: callback}
+	c.pending[c.lastStream] = p
+	// Writes under the lock because stream numbers must increase on the wire.
+	_, err := c.conn.Write(append(frame.AppendHead(nil, frame.Job, c.lastStream, len(payload)), payload...))
 	if err != nil {
-		delete(c.open, c.last)
+		delete(c.pending, c.lastStream)
 		return err
 	}
-	if p.crossed = c.shut(); p.crossed {
-		c.open[c.last] = p
+	if p.peerClosed = c.closedByPeer(); p.peerClosed {
+		c.pending[c.lastStream] = p
 	}
 	return nil
 }
 
-// shut tells whether the other side has ended the connection, whatever of it is still to be read.
-func (c *Client) shut() bool {
+// closedByPeer tells whether the peer has closed the connection, even if data from it is still unread.
+func (c *Client) closedByPeer() bool {
 	conn, ok := c.conn.(*net.TCPConn)
 	if !ok {
 		return false
@@ -143,94 +144,95 @@
 	if err != nil {
 		return true
 	}
-	state := established
+	state := tcpEstablished
 	failed := raw.Control(func(fd uintptr) {
 		var info int
 		if info, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
-			var first [4]byte // tcpi_state is the first byte of tcp_info
-			binary.NativeEndian.PutUint32(first[:], uint32(info))
-			state = first[0]
+			var firstBytes [4]byte // tcpi_state is the first byte of tcp_info
+			binary.NativeEndian.PutUint32(firstBytes[:], uint32(info))
+			state = firstBytes[0]
 		}
 	})
-	return failed != nil || err != nil || state != established
+	return failed != nil || err != nil || state != tcpEstablished
 }
 
-// established is TCP_ESTABLISHED of tcp(7).
-const established byte = 1
+// tcpEstablished is TCP_ESTABLISHED of tcp(7).
+const tcpEstablished byte = 1
 
-// Leave tells that nobody waits for a job any more: nothing is told about it from then on.
-func (c *Client) Leave(id string) (open bool) {
+// Leave cancels a job and notifies the peer that nobody waits for it. The job's callback is not called afterwards. It returns whether the
+// job was pending.
+func (c *Client) Leave(id string) (found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for stream, p := range c.open {
+	for stream, p := range c.pending {
 		if p.id == id {
-			open = true
-			delete(c.open, stream)
-			c.left[stream] = true // an answer may be on its way
+			found = true
+			delete(c.pending, stream)
+			c.cancelled[stream] = true // an answer may still arrive
 			_, _ = c.conn.Write(frame.AppendHead(nil, frame.Gone, stream, 0))
 		}
 	}
-	return open
+	return found
 }
 
-func (c *Client) read() {
+func (c *Client) readLoop() {
 	var err error
 	for err == nil {
-		err = c.next()
+		err = c.readFrame()
 	}
 	c.mu.Lock()
-	c.err = fmt.Errorf("connection over: %w", err)
-	open := c.open
-	c.open = map[uint32]pending{}
+	c.err = fmt.Errorf("connection closed: %w", err)
+	unanswered := c.pending
+	c.pending = map[uint32]pendingJob{}
 	c.mu.Unlock()
-	for _, p := range open {
+	for _, p := range unanswered {
 		err := c.err
-		if p.crossed {
+		if p.peerClosed {
 			err = ErrCrossed
 		}
-		p.tell(Answer{}, err)
+		p.callback(Answer{}, err)
 	}
 }
 
-func (c *Client) next() error {
-	head := make([]byte, frame.HeadSize)
-	if _, err := io.ReadFull(c.conn, head); err != nil {
+func (c *Client) readFrame() error {
+	header := make([]byte, frame.HeadSize)
+	if _, err := io.ReadFull(c.conn, header); err != nil {
 		return err
 	}
-	size := binary.BigEndian.Uint32(head)
-	if size < frame.MinLength || size > frame.MaxLength {
-		return fmt.Errorf("a frame of %d bytes", size)
+	length := binary.BigEndian.Uint32(header)
+	if length < frame.MinLength || length > frame.MaxLength {
+		return fmt.Errorf("frame length %d is out of range", length)
 	}
-	payload := make([]byte, size-frame.MinLength)
+	payload := make([]byte, length-frame.MinLength)
 	if _, err := io.ReadFull(c.conn, payload); err != nil {
 		return err
 	}
-	stream := binary.BigEndian.Uint32(head[5:])
+	stream := binary.BigEndian.Uint32(header[5:])
 	c.mu.Lock()
-	if head[4] == frame.NoMore {
-		c.drained = true
+	if header[4] == frame.NoMore {
+		c.draining = true
 	}
-	if head[4] != frame.Answer || len(payload) < 2 {
+	if header[4] != frame.Answer || len(payload) < 2 {
 		c.mu.Unlock()
 		return nil
 	}
-	p, is := c.open[stream]
-	if delete(c.open, stream); !is && !c.left[stream] {
-		c.strays++
+	p, found := c.pending[stream]
+	if delete(c.pending, stream); !found && !c.cancelled[stream] {
+		c.unmatchedAnswers++
 	}
-	delete(c.left, stream)
+	delete(c.cancelled, stream)
 	c.mu.Unlock()
-	if !is {
+	if !found {
 		return nil
 	}
-	a := Answer{Code: payload[0], Took: time.Since(p.sent)}
+	answer := Answer{Code: payload[0], Took: time.Since(p.sentAt)}
 	body, err := frame.Fields(payload[1:], func(name, value []byte) {
 		if string(name) == "after" {
 			ms, _ := strconv.Atoi(string(value))
-			a.After = time.Duration(ms) * time.Millisecond
+			answer.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	})
-	a.Body = string(body)
-	p.tell(a, err)
+	answer.Body = string(body)
+	p.callback(answer, err)
 	return nil
 }
--- a/lab/load/client_test.go
+++ b/lab/load/client_test.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// TestCrossed: a job is not sent on a connection that the other side has shut, whether or not its end was read; on one that is
-// open it is.
+// TestCrossed: a job is sent on an open connection and refused on one that the peer has closed, whether or not the client has read the
+// end of the stream yet. Otherwise a job that the peer never read would count as lost.
 func TestCrossed(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, err := Dial(l.Addr().String())
+	defer listener.Close()
+	client, err := Dial(listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	far, err := l.Accept()
+	defer client.Close()
+	peer, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	if err := c.Ask(Job{ID: "1", Wait: time.Second}, func(Answer, error) {}); err != nil {
+	defer peer.Close()
+	if err := client.Ask(Job{ID: "1", Wait: time.Second}, func(Answer, error) {}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	c.mu.Lock() // the end is not taken in while this is held
-	if c.shut() {
-		t.Error("shut before it is")
+	client.mu.Lock() // the client cannot process the end of the stream meanwhile
+	if client.closedByPeer() {
+		t.Error("closedByPeer is true while the connection is open")
 	}
-	if err := far.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := peer.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	for late := time.Now().Add(5 * time.Second); !c.shut() && time.Now().Before(late); {
+	for deadline := time.Now().Add(5 * time.Second); !client.closedByPeer() && time.Now().Before(deadline); {
 	}
-	c.mu.Unlock()
-	if err := c.Ask(Job{ID: "2", Wait: time.Second}, nil); err == nil || !errors.Is(err, ErrCrossed) && !errors.Is(err, io.EOF) {
-		t.Error("sent on a connection that is shut: ", err)
+	client.mu.Unlock()
+	if err := client.Ask(Job{ID: "2", Wait: time.Second}, nil); err == nil || !errors.Is(err, ErrCrossed) && !errors.Is(err, io.EOF) {
+		t.Error("Ask on a connection that the peer has closed: want ErrCrossed or EOF, got", err)
 	}
 }
--- a/lab/load/mix.go
+++ b/lab/load/mix.go
@@ -10,39 +10,40 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// Kind is one sort of jobs in a mix.
+// Kind describes one kind of job in a Mix.
 type Kind struct {
 	Type          string
 	PerSecond     float64
-	Work          time.Duration // mean core time; each job's is drawn between a half and one and a half of it
-	Wait          time.Duration // how long a client waits
+	Work          time.Duration // mean core time; a job's time is uniform between 0.5 and 1.5 times this
+	Wait          time.Duration // how long the client waits for the answer
 	LatencyTarget time.Duration
-	Told          bool // whether the cost is told
-	Keyed         bool
+	Told          bool // whether the job carries its cost
+	Keyed         bool // whether the job carries a deduplication key
 }
 
-// Count is what became of the jobs of a class.
+// Count holds the outcomes of the jobs of a class. InTime counts done jobs within the latency target, Cancelled jobs answered
+// as failed, and Lost jobs that could not be sent, whose connection ended or whose answer could not be parsed.
 type Count struct {
 	Sent, Done, InTime, Rejected, Cancelled, Lost int
-	Took                                          []time.Duration // of those done
+	Took                                          []time.Duration // response times of the done jobs
 }
 
-// Mix sends jobs of several kinds from a seed, over a few connections, at times drawn from an exponential
-// distribution, as jobs of many independent clients come.
+// Mix sends jobs of several kinds over a few connections. Times between jobs are exponentially distributed, as with many independent
+// clients, and drawn from a seed.
 type Mix struct {
 	Kinds     []Kind
-	Statement func(kind Kind, work time.Duration) string
+	Statement func(kind Kind, work time.Duration) string // returns the statement of a job that takes work
 
-	mu      sync.Mutex
-	counts  map[string]*Count
-	answers map[string]int // by job
-	open    sync.WaitGroup
+	mu           sync.Mutex
+	counts       map[string]*Count
+	answersByJob map[string]int // by job ID
+	unanswered   sync.WaitGroup
 }
 
-// Run sends to an address for a time and waits for the last answers.
-func (m *Mix) Run(address string, connections int, seed int64, length time.Duration) error {
-	m.mu.Lock() // what is shown meanwhile asks for the counts
-	m.counts, m.answers = map[string]*Count{}, map[string]int{}
+// Run sends jobs to address for a duration and waits until all of them are answered. It resets the counts.
+func (m *Mix) Run(address string, connections int, seed int64, duration time.Duration) error {
+	m.mu.Lock() // Counts may be called concurrently to show progress
+	m.counts, m.answersByJob = map[string]*Count{}, map[string]int{}
 	for _, kind := range m.Kinds {
 		m.counts[kind.Type] = &Count{}
 	}
@@ -61,95 +62,97 @@
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
-			m.send(kind, clients, rand.New(rand.NewSource(seed+int64(n))), length)
+			m.sendKind(kind, clients, rand.New(rand.NewSource(seed+int64(n))), duration)
 		}()
 	}
 	senders.Wait()
-	m.open.Wait()
+	m.unanswered.Wait()
 	return nil
 }
 
-func (m *Mix) send(kind Kind, clients []*Client, rng *rand.Rand, length time.Duration) {
-	from := time.Now()
-	for n, at := 0, time.Duration(0); ; n++ {
-		at += time.Duration(rng.ExpFloat64() / kind.PerSecond * float64(time.Second))
-		if at >= length {
+func (m *Mix) sendKind(kind Kind, clients []*Client, rng *rand.Rand, duration time.Duration) {
+	start := time.Now()
+	for number, offset := 0, time.Duration(0); ; number++ {
+		offset += time.Duration(rng.ExpFloat64() / kind.PerSecond * float64(time.Second))
+		if offset >= duration {
 			return
 		}
 		work := time.Duration((0.5 + rng.Float64()) * float64(kind.Work))
-		j := Job{Type: kind.Type, ID: fmt.Sprintf("%016x", rng.Uint64()), Wait: kind.Wait, Statement: m.Statement(kind, work)}
+		job := Job{Type: kind.Type, ID: fmt.Sprintf("%016x", rng.Uint64()), Wait: kind.Wait, Statement: m.Statement(kind, work)}
 		if kind.Told {
-			j.CostMS = float64(work) / float64(time.Millisecond)
+			job.CostMS = float64(work) / float64(time.Millisecond)
 		}
 		if kind.Keyed {
-			j.Once = "k" + j.ID
+			job.Once = "k" + job.ID
 		}
-		time.Sleep(time.Until(from.Add(at)))
-		m.count(kind.Type, func(c *Count) { c.Sent++ })
-		m.open.Add(1)
-		if err := clients[n%len(clients)].Ask(j, func(a Answer, err error) { m.answered(kind, j.ID, a, err) }); err != nil {
-			m.answered(kind, j.ID, Answer{}, err)
+		time.Sleep(time.Until(start.Add(offset)))
+		m.updateCount(kind.Type, func(c *Count) { c.Sent++ })
+		m.unanswered.Add(1)
+		if err := clients[number%len(clients)].Ask(job, func(answer Answer, err error) {
+			m.recordAnswer(kind, job.ID, answer, err)
+		}); err != nil {
+			m.recordAnswer(kind, job.ID, Answer{}, err)
 		}
 	}
 }
 
-func (m *Mix) count(name string, change func(*Count)) {
+func (m *Mix) updateCount(class string, change func(*Count)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	change(m.counts[name])
+	change(m.counts[class])
 }
 
-func (m *Mix) answered(kind Kind, id string, a Answer, err error) {
-	m.count(kind.Type, func(c *Count) {
-		switch m.answers[id]++; {
+func (m *Mix) recordAnswer(kind Kind, id string, answer Answer, err error) {
+	m.updateCount(kind.Type, func(c *Count) {
+		switch m.answersByJob[id]++; {
 		case err != nil:
 			c.Lost++
-		case a.Code == frame.Done:
+		case answer.Code == frame.Done:
 			c.Done++
-			c.Took = append(c.Took, a.Took)
-			if a.Took <= kind.LatencyTarget {
+			c.Took = append(c.Took, answer.Took)
+			if answer.Took <= kind.LatencyTarget {
 				c.InTime++
 			}
-		case a.Code == frame.Rejected:
+		case answer.Code == frame.Rejected:
 			c.Rejected++
 		default:
 			c.Cancelled++
 		}
 	})
-	m.open.Done()
+	m.unanswered.Done()
 }
 
-// Counts gives a copy of the figures so far, by class.
+// Counts returns a copy of the counts so far, by class.
 func (m *Mix) Counts() map[string]Count {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]Count, len(m.counts))
-	for name, c := range m.counts {
+	counts := make(map[string]Count, len(m.counts))
+	for class, c := range m.counts {
 		copied := *c
 		copied.Took = slices.Clone(c.Took)
-		out[name] = copied
+		counts[class] = copied
 	}
-	return out
+	return counts
 }
 
-// Doubled counts jobs that were answered more than once.
-func (m *Mix) Doubled() (n int) {
+// Doubled returns the number of jobs that were answered more than once.
+func (m *Mix) Doubled() (count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, answers := range m.answers {
+	for _, answers := range m.answersByJob {
 		if answers > 1 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Quantile of durations, 0 for none.
-func Quantile(all []time.Duration, q float64) time.Duration {
-	if len(all) == 0 {
+// Quantile returns the q-quantile of durations, with q from 0 to 1, or 0 if there are none.
+func Quantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	all = slices.Clone(all)
-	slices.Sort(all)
-	return all[min(int(q*float64(len(all))), len(all)-1)]
+	durations = slices.Clone(durations)
+	slices.Sort(durations)
+	return durations[min(int(q*float64(len(durations))), len(durations)-1)]
 }
--- a/lab/standin/discovery/discovery.go
+++ b/lab/standin/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery is a stand-in for discovery: numbered events over HTTP on a loopback address, answered at once
-// when there are newer ones and else when the wait is over.
+// Package discovery is a stand-in for the discovery service. It serves numbered events over HTTP on a loopback address by long
+// polling: a request is answered at once when there are newer events, else when one is added or the wait has passed.
 package discovery
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Host is an engine as the list tells of it. Health is active, leaving or left; Born is the Unix millisecond of a late
-// start, or 0.
+// Host is an entry of the engine list. Health is "active", "leaving" or "left". Born is the time of a recent start in Unix
+// milliseconds, or 0 for an engine that started long ago.
 type Host struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
@@ -27,190 +27,191 @@
 	Born   int64  `json:"born_ms"`
 }
 
-// Discovery is one stand-in. Its methods may be called from anywhere.
+// Discovery is a stand-in discovery service. Its methods are safe for concurrent use.
 type Discovery struct {
-	ln, second net.Listener // second is nil until it is asked for
-
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	events []json.RawMessage
-	newer  chan struct{} // closed when there are more
-	calls  []time.Time   // the last of them, when they came
-	silent bool
-	spoken chan struct{} // closed when it is silent no more
+	listener, secondListener net.Listener // secondListener is nil until Second is called
+
+	mu           sync.Mutex
+	conns        map[net.Conn]bool
+	events       []json.RawMessage
+	updated      chan struct{} // closed and replaced when an event is added
+	requestTimes []time.Time   // arrival times of the latest requests
+	silent       bool
+	resumed      chan struct{} // closed when silent ends
 }
 
-// Start listens on an address; port 0 picks one.
+// Start starts a service that listens on address; port 0 picks a free port.
 func Start(address string) (*Discovery, error) {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in discovery: %w", err)
 	}
-	f := &Discovery{ln: ln, newer: make(chan struct{}), conns: map[net.Conn]bool{}}
-	go f.accept(ln)
-	return f, nil
+	d := &Discovery{listener: listener, updated: make(chan struct{}), conns: map[net.Conn]bool{}}
+	go d.accept(listener)
+	return d, nil
 }
 
-func (f *Discovery) accept(ln net.Listener) {
-	for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
-		f.mu.Lock()
-		f.conns[conn] = true
-		f.mu.Unlock()
-		go f.serve(conn)
+func (d *Discovery) accept(listener net.Listener) {
+	for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+		d.mu.Lock()
+		d.conns[conn] = true
+		d.mu.Unlock()
+		go d.serve(conn)
 	}
 }
 
-// Second is another address at which the same list is told.
-func (f *Discovery) Second() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.second == nil {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+// Second returns a second address that serves the same events. It returns the first address if no second one can be opened.
+func (d *Discovery) Second() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.secondListener == nil {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return f.Address()
+			return d.Address()
 		}
-		f.second = ln
-		go f.accept(ln)
+		d.secondListener = listener
+		go d.accept(listener)
 	}
-	return f.second.Addr().String()
+	return d.secondListener.Addr().String()
 }
 
-// Address is where it listens.
-func (f *Discovery) Address() string { return f.ln.Addr().String() }
+// Address returns the address that the service listens on.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Times gives when calls came, counted from a moment.
-func (f *Discovery) Times(from time.Time) (at []time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, t := range f.calls {
-		at = append(at, t.Sub(from))
+// Times returns when the latest requests arrived, relative to from.
+func (d *Discovery) Times(from time.Time) (offsets []time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, t := range d.requestTimes {
+		offsets = append(offsets, t.Sub(from))
 	}
-	return at
+	return offsets
 }
 
-// Close ends it, with all calls.
-func (f *Discovery) Close() {
-	_ = f.ln.Close()
-	f.Silent(false)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.second != nil {
-		_ = f.second.Close()
+// Close stops the service and closes its connections.
+func (d *Discovery) Close() {
+	_ = d.listener.Close()
+	d.Silent(false)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.secondListener != nil {
+		_ = d.secondListener.Close()
 	}
-	for conn := range f.conns {
+	for conn := range d.conns {
 		_ = conn.Close()
 	}
 }
 
-// serve answers the calls of one connection. It reads HTTP by itself, as the package for it would be in the memory of
-// every controller that is built with this one.
-func (f *Discovery) serve(conn net.Conn) {
+// serve answers the requests of one connection. It parses HTTP itself because net/http would take memory in every controller
+// process, as controllers run from the same binary.
+func (d *Discovery) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
-		f.mu.Lock()
-		delete(f.conns, conn)
-		f.mu.Unlock()
+		d.mu.Lock()
+		delete(d.conns, conn)
+		d.mu.Unlock()
 	}()
-	for r := textproto.NewReader(bufio.NewReader(conn)); ; {
-		line, err := r.ReadLine()
+	for reader := textproto.NewReader(bufio.NewReader(conn)); ; {
+		requestLine, err := reader.ReadLine()
 		if err != nil {
 			return
 		}
-		if _, err := r.ReadMIMEHeader(); err != nil {
+		if _, err := reader.ReadMIMEHeader(); err != nil {
 			return
 		}
 		status, body := "400 Bad Request", []byte("GET /v1/events?SUB=N&wait=MS is wanted")
-		if words := strings.Fields(line); len(words) == 3 && words[0] == "GET" {
-			if told := f.answer(words[1]); told != nil {
-				status, body = "200 OK", told
+		if words := strings.Fields(requestLine); len(words) == 3 && words[0] == "GET" {
+			if response := d.handleRequest(words[1]); response != nil {
+				status, body = "200 OK", response
 			}
 		}
-		head := fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", status, len(body))
-		if _, err := conn.Write(append([]byte(head), body...)); err != nil {
+		header := fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", status, len(body))
+		if _, err := conn.Write(append([]byte(header), body...)); err != nil {
 			return
 		}
 	}
 }
 
-// Silent has it take calls and answer none, until it is told not to: what was asked meanwhile is answered then.
-func (f *Discovery) Silent(yes bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if yes && !f.silent {
-		f.spoken = make(chan struct{})
-	} else if !yes && f.silent {
-		close(f.spoken)
+// Silent makes the service accept requests without answering them while silent is true. Requests held meanwhile are answered when it
+// ends.
+func (d *Discovery) Silent(silent bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if silent && !d.silent {
+		d.resumed = make(chan struct{})
+	} else if !silent && d.silent {
+		close(d.resumed)
 	}
-	f.silent = yes
+	d.silent = silent
 }
 
-// wait is over when it is not silent.
-func (f *Discovery) wait() {
-	f.mu.Lock()
-	silent, spoken := f.silent, f.spoken
-	f.mu.Unlock()
+// waitWhileSilent blocks until the service is not silent.
+func (d *Discovery) waitWhileSilent() {
+	d.mu.Lock()
+	silent, resumed := d.silent, d.resumed
+	d.mu.Unlock()
 	if silent {
-		<-spoken
+		<-resumed
 	}
 }
 
-// Tell adds an event: the whole list, or what changed.
-func (f *Discovery) Tell(whole bool, hosts ...Host) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	n := len(f.events) + 1
-	event, err := json.Marshal(map[string]any{"n": n, "members": map[string]any{"seq": n, "whole": whole, "hosts": hosts}})
+// Tell adds an event: the complete list if complete is true, else the hosts that changed.
+func (d *Discovery) Tell(complete bool, hosts ...Host) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	number := len(d.events) + 1
+	event, err := json.Marshal(map[string]any{"n": number, "members": map[string]any{"seq": number, "whole": complete, "hosts": hosts}})
 	if err != nil {
-		panic(err) // strings and numbers always go
+		panic(err) // strings, numbers and booleans always marshal
 	}
-	f.events = append(f.events, event)
-	close(f.newer)
-	f.newer = make(chan struct{})
+	d.events = append(d.events, event)
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
-// Since is the text of the events behind a number, as known in a configuration.
-func (f *Discovery) Since(last int) json.RawMessage {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.since(last)
+// Since returns the events after number lastSeen as JSON, in the format of a response and of "known" in a controller's configuration.
+func (d *Discovery) Since(lastSeen int) json.RawMessage {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.eventsAfter(lastSeen)
 }
 
-func (f *Discovery) since(last int) json.RawMessage {
-	raw, _ := json.Marshal(map[string]any{"n": len(f.events), "events": f.events[min(max(last, 0), len(f.events)):]})
-	return raw
+func (d *Discovery) eventsAfter(lastSeen int) json.RawMessage {
+	text, _ := json.Marshal(map[string]any{"n": len(d.events), "events": d.events[min(max(lastSeen, 0), len(d.events)):]})
+	return text
 }
 
-// mostCalls are remembered: those of hundreds of controllers for minutes.
-const mostCalls = 100_000
+// maxRequestTimes is how many arrival times are kept at least: enough for hundreds of controllers over some minutes.
+const maxRequestTimes = 100_000
 
-// mostWait is the protocol's.
-const mostWait = 5 * time.Second
+// maxWait is the longest wait of a request that the protocol allows.
+const maxWait = 5 * time.Second
 
-// answer gives the text for a call, or nil for one that is none.
-func (f *Discovery) answer(target string) []byte {
-	called, err := url.Parse(target)
-	if err != nil || called.Path != "/v1/events" {
+// handleRequest returns the response to a request target, after waiting for newer events, or nil for an invalid request.
+func (d *Discovery) handleRequest(target string) []byte {
+	request, err := url.Parse(target)
+	if err != nil || request.Path != "/v1/events" {
 		return nil
 	}
-	last, err := strconv.Atoi(called.Query().Get("SUB"))
-	wait, err2 := strconv.Atoi(called.Query().Get("wait"))
-	if err != nil || err2 != nil || wait < 0 {
+	lastSeen, err := strconv.Atoi(request.Query().Get("SUB"))
+	waitMS, waitErr := strconv.Atoi(request.Query().Get("wait"))
+	if err != nil || waitErr != nil || waitMS < 0 {
 		return nil
 	}
-	late := time.After(min(time.Duration(wait)*time.Millisecond, mostWait))
-	f.mu.Lock()
-	if f.calls = append(f.calls, time.Now()); len(f.calls) > 2*mostCalls {
-		f.calls = slices.Clone(f.calls[mostCalls:])
+	timeout := time.After(min(time.Duration(waitMS)*time.Millisecond, maxWait))
+	d.mu.Lock()
+	if d.requestTimes = append(d.requestTimes, time.Now()); len(d.requestTimes) > 2*maxRequestTimes {
+		d.requestTimes = slices.Clone(d.requestTimes[maxRequestTimes:])
 	}
-	newer := f.newer
-	waits := len(f.events) <= last
-	f.mu.Unlock()
-	if waits {
+	updated := d.updated
+	upToDate := len(d.events) <= lastSeen
+	d.mu.Unlock()
+	if upToDate {
 		select {
-		case <-newer:
-		case <-late:
+		case <-updated:
+		case <-timeout:
 		}
 	}
-	f.wait()
-	return f.Since(last)
+	d.waitWhileSilent()
+	return d.Since(lastSeen)
 }
--- a/lab/standin/engine/engine.go
+++ b/lab/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for an analytic engine on a loopback address: it speaks the engines' side of the
-// protocol, runs jobs that share a number of cores, and dies, hangs, slows down and returns cold when it is told to. Its audit
-// says what took place.
+// Package engine is a stand-in for an analytic engine, listening on a loopback address. It speaks the engine side of the protocol and
+// runs jobs that share a number of cores. Tests can make it crash, hang, fail, slow down and restart cold (slow at first), and read
+// counters of what it served.
 package engine
 
 import (
@@ -17,115 +17,116 @@
 	"yarrowbarrow/lab/flood"
 )
 
-// Options of an engine. The zero value has one core, and jobs take no time.
+// Options configures an Engine. The zero value has one core and no warm-up.
 type Options struct {
-	Cores int           // jobs that run at full speed, 1 or more; more of them share the cores evenly
-	Most  int           // jobs that run at once, what comes then is turned away; 0: eight a core
-	Cold  time.Duration // after a start it runs slower for so long, from a third of its speed up
-	Row   string        // each result has this one row
-	Watch func(Event)   // is told what takes place, under the engine's lock: it must not call the engine
+	Cores     int           // jobs that run at full speed, at least 1; more jobs share the cores evenly
+	MaxJobs   int           // jobs that run at once; further jobs are refused; 0: 8 per core
+	Cold      time.Duration // warm-up after a start, during which the speed rises linearly from a third to full
+	ResultRow string        // the single row of each result; empty: a default row
+	Watch     func(Event)   // receives each event while the engine's lock is held, so it must not call the engine; may be nil
 }
 
-// Event is what took place at an engine.
+// Event is one step of a job, or a connection or probe, at an engine. Connections and probes set only At and What.
 type Event struct {
 	At   time.Time
 	What What
-	ID   string        // of the job
-	Run  int           // numbers attempts, as a job may come again before its last attempt is given up
-	Work time.Duration // that it says of itself
-	Wait time.Duration // for which the sender waits, as it says
+	ID   string        // job ID
+	Run  int           // number of the attempt, as a job may arrive again before its previous attempt is dropped
+	Work time.Duration // core time that the statement declares for the job
+	Wait time.Duration // how long the sender waits for the answer, as the command says
 }
 
-// What took place.
+// What is the type of an Event.
 type What int
 
 const (
-	Came    What = iota // a job was read
-	Began               // it runs
-	Ended               // it was answered
-	Dropped             // it was given up, or turned away
-	Lost                // it was lost with the engine's process
-	Dialled             // a connection came
-	Probed              // a probe
+	Came    What = iota // a job was received
+	Began               // the job started to run
+	Ended               // the job finished and its result was sent
+	Dropped             // the job was cancelled, refused or failed, or its connection closed
+	Lost                // the job was running when the engine crashed
+	Dialled             // a connection was accepted
+	Probed              // a probe was received
 )
 
-// Audit is what took place since the engine was made, over all its starts.
+// Audit counts what an Engine served since Start, across all its restarts.
 type Audit struct {
-	Taken, Ran, Cancelled, Doubled int // Doubled: ids that ran twice
-	Dials, Probes                  int
-	Busy                           time.Duration // core time spent
-	Last                           time.Time     // when a job last came
+	Taken, Ran, Cancelled, Doubled int // jobs received, completed and cancelled; Doubled: job IDs that completed more than once
+	Connections, Probes            int
+	CoreTime                       time.Duration // core time spent on jobs
+	LastJobAt                      time.Time     // when the latest job was received
 }
 
-// Engine is one stand-in. Its methods may be called from anywhere.
+// Engine is a stand-in engine. Its methods are safe for concurrent use.
 type Engine struct {
 	options Options
 	address string
 
-	mu     sync.Mutex
-	ln     net.Listener
-	conns  map[net.Conn]bool
-	life   int // counts starts
-	up     bool
-	since  time.Time
-	slow   float64 // times as long, 1 usually
-	hung   bool
-	fails  bool
-	floods []flood.Flood     // that jobs are answered with by turns, or none
-	fills  map[net.Conn]bool // a flood is being sent there, and nothing else
-	runs   []*run            // in the order they came
-	shared time.Time         // until when their shares are worked out
-	timer  *time.Timer       // for the next end
-	ran    map[string]int
-	audit  Audit
+	mu              sync.Mutex
+	listener        net.Listener
+	conns           map[net.Conn]bool
+	incarnation     int // changes with each start and crash, so that goroutines of an earlier one are ignored
+	running         bool
+	startedAt       time.Time
+	slowdown        float64 // factor on how long jobs take; normally 1
+	hanging         bool
+	failing         bool
+	floods          []flood.Flood     // jobs are answered with these in turn; empty: with results
+	flooding        map[net.Conn]bool // connections on which a flood is sent, and nothing else
+	jobs            []*activeJob      // in order of arrival
+	progressAt      time.Time         // time up to which the progress of the jobs is accounted
+	completionTimer *time.Timer       // fires when the next job is due
+	completions     map[string]int
+	audit           Audit
 }
 
-// run is a job that an engine has taken.
-type run struct {
-	id   string
-	n    int
-	work time.Duration
-	wait time.Duration
-	left time.Duration // of its work
-	conn net.Conn
+// activeJob is a job that the engine runs.
+type activeJob struct {
+	id        string
+	attempt   int
+	work      time.Duration
+	wait      time.Duration
+	remaining time.Duration // core time still to do
+	conn      net.Conn
 }
 
-// Start listens on an address; port 0 picks one.
+// Start starts an engine that listens on address; port 0 picks a free port. The engine starts warm.
 func Start(address string, options Options) (*Engine, error) {
 	options.Cores = max(options.Cores, 1)
-	if options.Most == 0 {
-		options.Most = 8 * options.Cores
+	if options.MaxJobs == 0 {
+		options.MaxJobs = 8 * options.Cores
 	}
-	if options.Row == "" {
-		options.Row = "a\tb\tc\n"
+	if options.ResultRow == "" {
+		options.ResultRow = "a\tb\tc\n"
 	}
-	e := &Engine{options: options, address: address, conns: map[net.Conn]bool{}, fills: map[net.Conn]bool{}, ran: map[string]int{}, slow: 1}
+	e := &Engine{options: options, address: address, conns: map[net.Conn]bool{}, flooding: map[net.Conn]bool{},
+		completions: map[string]int{}, slowdown: 1}
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
-	e.since = time.Now().Add(-options.Cold) // the first start is long ago
+	e.startedAt = time.Now().Add(-options.Cold) // warm: only restarts are cold
 	return e, nil
 }
 
 func (e *Engine) listen() error {
-	ln, err := net.Listen("tcp", e.address)
+	listener, err := net.Listen("tcp", e.address)
 	if err != nil {
 		return fmt.Errorf("stand-in engine: %w", err)
 	}
 	e.mu.Lock()
-	e.ln, e.address, e.since = ln, ln.Addr().String(), time.Now()
-	e.life++
-	e.up = true
-	life := e.life
+	e.listener, e.address, e.startedAt = listener, listener.Addr().String(), time.Now()
+	e.incarnation++
+	e.running = true
+	incarnation := e.incarnation
 	e.mu.Unlock()
 	go func() {
-		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
 			e.mu.Lock()
-			if e.life == life {
+			if e.incarnation == incarnation {
 				e.conns[conn] = true
-				e.audit.Dials++
-				e.tell(Dialled, &run{})
-				go e.serve(conn, life)
+				e.audit.Connections++
+				e.notify(Dialled, &activeJob{})
+				go e.serve(conn, incarnation)
 			} else {
 				conn.Close()
 			}
@@ -135,107 +136,108 @@
 	return nil
 }
 
-// Address is where it listens, the same after each start.
+// Address returns the address that the engine listens on. It stays the same across restarts.
 func (e *Engine) Address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.address
 }
 
-// Die ends the engine as a killed process does: connections are reset and what it ran is lost.
+// Die crashes the engine as a killed process does: its connections are reset and the jobs it runs are lost.
 func (e *Engine) Die() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life++
-	e.up = false
-	_ = e.ln.Close()
-	for _, r := range e.runs { // before anybody can know
-		e.tell(Lost, r)
+	e.incarnation++
+	e.running = false
+	_ = e.listener.Close()
+	for _, job := range e.jobs { // notify before any peer can see its connection reset
+		e.notify(Lost, job)
 	}
-	e.runs = nil
+	e.jobs = nil
 	for conn := range e.conns {
-		if tcp, is := conn.(*net.TCPConn); is {
-			_ = tcp.SetLinger(0)
+		if tcpConn, ok := conn.(*net.TCPConn); ok {
+			_ = tcpConn.SetLinger(0)
 		}
 		_ = conn.Close()
 	}
 	clear(e.conns)
-	clear(e.fills)
+	clear(e.flooding)
 }
 
-func (e *Engine) tell(what What, r *run) {
+func (e *Engine) notify(what What, job *activeJob) {
 	if e.options.Watch != nil {
-		e.options.Watch(Event{At: time.Now(), What: what, ID: r.id, Run: r.n, Work: r.work, Wait: r.wait})
+		e.options.Watch(Event{At: time.Now(), What: what, ID: job.id, Run: job.attempt, Work: job.work, Wait: job.wait})
 	}
 }
 
-// Return starts it again at its address, cold. One that is up stays as it is.
+// Return restarts a crashed engine at the same address, cold. It does nothing if the engine is running.
 func (e *Engine) Return() error {
 	e.mu.Lock()
-	up := e.up
+	running := e.running
 	e.mu.Unlock()
-	if up {
+	if running {
 		return nil
 	}
 	return e.listen()
 }
 
-// Slow has jobs take so many times as long from now on.
-func (e *Engine) Slow(times float64) { e.change(func() { e.slow = times }) }
+// Slow makes jobs take factor times as long from now on; 1 is normal.
+func (e *Engine) Slow(factor float64) { e.applyChange(func() { e.slowdown = factor }) }
 
-// Hang has it take jobs and answer none, until it is told not to.
-func (e *Engine) Hang(yes bool) { e.change(func() { e.hung = yes }) }
+// Hang makes the engine accept jobs and probes without answering them while enabled. Jobs make no progress meanwhile.
+func (e *Engine) Hang(enabled bool) { e.applyChange(func() { e.hanging = enabled }) }
 
-// Fail has it answer each job with an error at once, until it is told not to.
-func (e *Engine) Fail(yes bool) { e.change(func() { e.fails = yes }) }
+// Fail makes the engine answer each new job with an error at once while enabled.
+func (e *Engine) Fail(enabled bool) { e.applyChange(func() { e.failing = enabled }) }
 
-// Flood has each job answered with one of these, by turns, on its connection, which then serves no further job. None ends that.
-func (e *Engine) Flood(with []flood.Flood) { e.change(func() { e.floods = with }) }
+// Flood makes the engine answer each new job with one of floods in turn. A flooded connection carries no other answer afterwards. Nil
+// restores normal answers.
+func (e *Engine) Flood(floods []flood.Flood) { e.applyChange(func() { e.floods = floods }) }
 
-// Chill has it begin as if it had started just now.
-func (e *Engine) Chill() { e.change(func() { e.since = time.Now() }) }
+// Chill makes the engine cold, as if it had just started.
+func (e *Engine) Chill() { e.applyChange(func() { e.startedAt = time.Now() }) }
 
-// change does what changes the speed, after what was done at the one before.
-func (e *Engine) change(f func()) {
+// applyChange makes a change that affects the speed of jobs, after accounting their progress at the speed before it.
+func (e *Engine) applyChange(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.share()
-	f()
-	e.next()
+	e.updateProgress()
+	change()
+	e.completeDue()
 }
 
-// Audit gives what took place so far.
+// Audit returns the counters so far.
 func (e *Engine) Audit() Audit {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a := e.audit
-	for _, n := range e.ran {
-		if n > 1 {
-			a.Doubled++
+	audit := e.audit
+	for _, count := range e.completions {
+		if count > 1 {
+			audit.Doubled++
 		}
 	}
-	return a
+	return audit
 }
 
-// Load is the jobs that run, as many as there are cores, and those beyond.
-func (e *Engine) Load() (active, beyond int) {
+// Load returns the number of jobs that run, up to the number of cores, and the number of jobs in excess of it.
+func (e *Engine) Load() (active, excess int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	active = min(len(e.runs), e.options.Cores)
-	return active, len(e.runs) - active
+	active = min(len(e.jobs), e.options.Cores)
+	return active, len(e.jobs) - active
 }
 
-// workIn finds what a statement says of its own work, in a comment: /* work=250ms */. The protocol does not tell an
-// engine the cost.
-func workIn(statement string) time.Duration {
+// parseWork returns the core time that a statement declares in a comment such as /* work=250ms */, or 0 without one. The comment is
+// needed because the protocol does not send the cost to engines.
+func parseWork(statement string) time.Duration {
 	_, after, _ := strings.Cut(statement, "/* work=")
 	text, _, _ := strings.Cut(after, " */")
 	work, _ := time.ParseDuration(text)
 	return work
 }
 
-// waitIn reads the field of a command that tells for how many milliseconds its sender waits.
-func waitIn(fields string) (wait time.Duration) {
+// parseWait returns the field "wait" of a command: the milliseconds for which its sender waits for the answer.
+func parseWait(fields string) (wait time.Duration) {
 	resp.Fields([]byte(fields), func(name, value []byte) {
 		if string(name) == "wait" {
 			ms, _ := strconv.Atoi(string(value))
@@ -245,12 +247,12 @@
 	return wait
 }
 
-func (e *Engine) serve(conn net.Conn, life int) {
+func (e *Engine) serve(conn net.Conn, incarnation int) {
 	var data []byte
 	for buf := make([]byte, 16<<10); ; {
 		n, err := conn.Read(buf)
 		if err != nil {
-			e.giveUp(conn, life)
+			e.connectionClosed(conn, incarnation)
 			return
 		}
 		data = append(data, buf[:n]...)
@@ -259,163 +261,165 @@
 			if size == 0 || err != nil {
 				break
 			}
-			said := make([]string, len(words))
-			for n, word := range words {
-				said[n] = string(word)
+			args := make([]string, len(words))
+			for i, word := range words {
+				args[i] = string(word)
 			}
 			data = data[size:]
-			e.hear(conn, life, said)
+			e.handleCommand(conn, incarnation, args)
 		}
 	}
 }
 
-// giveUp drops what was open on a connection that is over, as the protocol has it.
-func (e *Engine) giveUp(conn net.Conn, life int) {
+// connectionClosed drops the jobs of a closed connection, as the protocol requires.
+func (e *Engine) connectionClosed(conn net.Conn, incarnation int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life != life {
+	if e.incarnation != incarnation {
 		return
 	}
 	delete(e.conns, conn)
-	delete(e.fills, conn)
+	delete(e.flooding, conn)
 	_ = conn.Close()
-	e.drop(func(r *run) bool { return r.conn == conn })
+	e.cancelMatching(func(job *activeJob) bool { return job.conn == conn })
 }
 
-// drop has those that a choice names run no more.
-func (e *Engine) drop(which func(*run) bool) {
-	e.share()
-	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
-		if which(r) {
+// cancelMatching stops the jobs for which matches is true and sends no answer to them.
+func (e *Engine) cancelMatching(matches func(*activeJob) bool) {
+	e.updateProgress()
+	e.jobs = slices.DeleteFunc(e.jobs, func(job *activeJob) bool {
+		if matches(job) {
 			e.audit.Cancelled++
-			e.tell(Dropped, r)
+			e.notify(Dropped, job)
 			return true
 		}
 		return false
 	})
-	e.next()
+	e.completeDue()
 }
 
-func (e *Engine) hear(conn net.Conn, life int, said []string) {
+func (e *Engine) handleCommand(conn net.Conn, incarnation int, args []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life != life || len(said) < 2 || said[0] == "serve" && len(said) < 4 {
+	if e.incarnation != incarnation || len(args) < 2 || args[0] == "serve" && len(args) < 4 {
 		return
 	}
-	switch said[0] {
+	switch args[0] {
 	case "serve":
-		r := &run{id: said[1], conn: conn, work: workIn(said[len(said)-1]), wait: waitIn(said[2])}
-		r.left = r.work
+		job := &activeJob{id: args[1], conn: conn, work: parseWork(args[len(args)-1]), wait: parseWait(args[2])}
+		job.remaining = job.work
 		e.audit.Taken++
-		r.n = e.audit.Taken
-		e.audit.Last = time.Now()
-		e.tell(Came, r)
-		if len(e.runs) >= e.options.Most {
-			e.tell(Dropped, r)
-			e.answer(conn, r.id, "SHED", "-", "")
+		job.attempt = e.audit.Taken
+		e.audit.LastJobAt = time.Now()
+		e.notify(Came, job)
+		if len(e.jobs) >= e.options.MaxJobs {
+			e.notify(Dropped, job)
+			e.reply(conn, job.id, "SHED", "-", "")
 			return
 		}
-		if e.fails {
-			e.tell(Began, r)
-			e.tell(Dropped, r)
-			e.answer(conn, r.id, "FAULT", "-", "")
+		if e.failing {
+			e.notify(Began, job)
+			e.notify(Dropped, job)
+			e.reply(conn, job.id, "FAULT", "-", "")
 			return
 		}
 		if len(e.floods) > 0 {
-			r.left = flooded
-			e.fills[conn] = true
+			job.remaining = floodedWork
+			e.flooding[conn] = true
 			go e.floods[e.audit.Taken%len(e.floods)].Send(conn)
 		}
-		e.share()
-		e.runs = append(e.runs, r)
-		e.tell(Began, r)
-		e.next()
+		e.updateProgress()
+		e.jobs = append(e.jobs, job)
+		e.notify(Began, job)
+		e.completeDue()
 	case "cancel":
-		e.drop(func(r *run) bool { return r.id == said[1] })
+		e.cancelMatching(func(job *activeJob) bool { return job.id == args[1] })
 	case "health", "gauges":
 		e.audit.Probes++
-		e.tell(Probed, &run{})
-		if !e.hung {
-			e.answer(conn, said[1], "PONG", "-", "")
+		e.notify(Probed, &activeJob{})
+		if !e.hanging {
+			e.reply(conn, args[1], "PONG", "-", "")
 		}
 	}
 }
 
-// flooded is the work of a job whose answer does not end.
-const flooded = time.Hour
+// floodedWork is the work assumed for a job that is answered with a flood, as such an answer does not end.
+const floodedWork = time.Hour
 
-// speed is how much of its work a job gets done in a time.
-func (e *Engine) speed() float64 {
-	if e.hung || len(e.runs) == 0 {
+// progressRate returns the core time that each running job gets per unit of elapsed time: 1 at full speed, 0 while the engine
+// hangs.
+func (e *Engine) progressRate() float64 {
+	if e.hanging || len(e.jobs) == 0 {
 		return 0
 	}
-	speed := min(1, float64(e.options.Cores)/float64(len(e.runs))) / e.slow
-	if age := time.Since(e.since); age < e.options.Cold {
-		speed *= (1 + 2*float64(age)/float64(e.options.Cold)) / 3
+	rate := min(1, float64(e.options.Cores)/float64(len(e.jobs))) / e.slowdown
+	if age := time.Since(e.startedAt); age < e.options.Cold {
+		rate *= (1 + 2*float64(age)/float64(e.options.Cold)) / 3
 	}
-	return speed
+	return rate
 }
 
-// share gives all that run their parts of the time since it was last done. What changes the speed comes after it.
-func (e *Engine) share() {
+// updateProgress accounts the progress of all running jobs since its last call. It must be called before anything that changes the
+// rate, as it applies the current rate to the whole interval.
+func (e *Engine) updateProgress() {
 	now := time.Now()
-	done := time.Duration(float64(now.Sub(e.shared)) * e.speed())
-	e.shared = now
-	for _, r := range e.runs {
-		r.left -= done
-		e.audit.Busy += done
+	progress := time.Duration(float64(now.Sub(e.progressAt)) * e.progressRate())
+	e.progressAt = now
+	for _, job := range e.jobs {
+		job.remaining -= progress
+		e.audit.CoreTime += progress
 	}
 }
 
-// coldStep is how often the growing speed of a cold engine is looked at.
-const coldStep = 50 * time.Millisecond
+// coldUpdateInterval is the longest time between updates of a cold engine, whose rate rises meanwhile.
+const coldUpdateInterval = 50 * time.Millisecond
 
-// next answers what is through, and waits for the next one.
-func (e *Engine) next() {
-	e.runs = slices.DeleteFunc(e.runs, func(r *run) bool {
-		if r.left > 0 || e.hung {
+// completeDue answers the jobs whose work is done and sets the timer for the next one.
+func (e *Engine) completeDue() {
+	e.jobs = slices.DeleteFunc(e.jobs, func(job *activeJob) bool {
+		if job.remaining > 0 || e.hanging {
 			return false
 		}
-		e.ran[r.id]++
+		e.completions[job.id]++
 		e.audit.Ran++
-		e.tell(Ended, r)
-		e.answer(r.conn, r.id, "HIT", fmt.Sprintf("count=1,ticks=%d,footprint=16", max(r.work.Milliseconds(), 1)), e.options.Row)
+		e.notify(Ended, job)
+		e.reply(job.conn, job.id, "HIT", fmt.Sprintf("count=1,ticks=%d,footprint=16", max(job.work.Milliseconds(), 1)), e.options.ResultRow)
 		return true
 	})
-	if e.timer != nil {
-		e.timer.Stop()
+	if e.completionTimer != nil {
+		e.completionTimer.Stop()
 	}
-	speed := e.speed()
-	if speed == 0 {
+	rate := e.progressRate()
+	if rate == 0 {
 		return
 	}
-	least := slices.MinFunc(e.runs, func(a, b *run) int { return cmp.Compare(a.left, b.left) }).left
-	wait := time.Duration(float64(least)/speed) + time.Microsecond
-	if time.Since(e.since) < e.options.Cold {
-		wait = min(wait, coldStep)
+	minRemaining := slices.MinFunc(e.jobs, func(a, b *activeJob) int { return cmp.Compare(a.remaining, b.remaining) }).remaining
+	delay := time.Duration(float64(minRemaining)/rate) + time.Microsecond
+	if time.Since(e.startedAt) < e.options.Cold {
+		delay = min(delay, coldUpdateInterval)
 	}
-	e.timer = time.AfterFunc(wait, func() {
+	e.completionTimer = time.AfterFunc(delay, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.share()
-		e.next()
+		e.updateProgress()
+		e.completeDue()
 	})
 }
 
-// answer says something under the lock: on a connection that a flood fills it would wait for that.
-func (e *Engine) answer(conn net.Conn, words ...string) {
-	if e.fills[conn] {
+// reply writes a message, with the lock held. It writes nothing on a flooded connection, where the write would block behind the flood.
+func (e *Engine) reply(conn net.Conn, words ...string) {
+	if e.flooding[conn] {
 		return
 	}
-	out := resp.AppendArray(nil, len(words))
+	message := resp.AppendArray(nil, len(words))
 	for _, word := range words {
-		out = resp.AppendWord(out, word)
+		message = resp.AppendWord(message, word)
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(time.Second)) // a reader that stands still must not hold the engine
-	_, _ = conn.Write(out)
+	_ = conn.SetWriteDeadline(time.Now().Add(time.Second)) // a peer that does not read must not block the engine
+	_, _ = conn.Write(message)
 }
 
-// Work is a statement that takes so long on one core.
+// Work returns the statement with a comment that makes the engine spend the given core time on it.
 func Work(statement string, work time.Duration) string {
 	return strings.TrimSpace(statement) + fmt.Sprintf(" /* work=%s */", work)
 }
