--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -69,18 +69,18 @@
 	location logic.Location
 	kind     logic.KindName
 	health   logic.Health
-	listed   bool
-	inFlight int // attempts of this controller without an outcome yet
+	listed   bool // named by the list being received
+	inFlight int  // attempts of this controller without an outcome yet
 }
 
 type job struct {
 	class     logic.Class
-	expires   time.Duration
+	expires   time.Duration // the earlier of the client's deadline and that of the class
 	placement logic.Placement
 	attempts  int     // number of attempts sent
 	engine    *engine // of the current attempt, or nil
-	maybeRan  bool
-	ended     bool // its outcome is decided; no further attempt is made
+	maybeRan  bool    // an attempt may have run
+	ended     bool    // its outcome is decided; no further attempt is made
 }
 
 type policy struct {
@@ -135,6 +135,7 @@
 	p.sendAttempt(now, id, j)
 }
 
+// sendAttempt sends a job to one of the allowed engines, or finishes it if there is none, or no attempt or time is left.
 func (p *policy) sendAttempt(now time.Duration, id logic.JobID, j *job) {
 	var candidates []*engine
 	for _, e := range p.sortedEngines {
@@ -153,6 +154,7 @@
 	p.host.Attempt(id, j.engine.id, j.expires-now, j.expires-now)
 }
 
+// finish answers a job that has no result: as failed if it may have run and must not run again, else as rejected.
 func (p *policy) finish(id logic.JobID, j *job) {
 	j.ended = true
 	if j.maybeRan && j.class.Repeat != logic.Idempotent {
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -15,11 +15,11 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// Job is a request of a client.
+// Job is a request of a client. Type is the class of the job and Once its idempotency key; an empty Once or Customer is not sent.
 type Job struct {
 	Type, ID, Once, Customer string
-	Wait                     time.Duration
-	CostMS                   float64 // estimated cost; 0: not sent
+	Wait                     time.Duration // how long the client waits for the answer
+	CostMS                   float64       // estimated cost; 0: not sent
 	Statement                string
 }
 
--- a/lab/standin/engine/engine.go
+++ b/lab/standin/engine/engine.go
@@ -164,6 +164,7 @@
 	clear(e.flooding)
 }
 
+// notify passes an event to Options.Watch, with the lock held.
 func (e *Engine) notify(what What, job *activeJob) {
 	if e.options.Watch != nil {
 		e.options.Watch(Event{At: time.Now(), What: what, ID: job.id, Run: job.attempt, Work: job.work, Wait: job.wait})
@@ -298,6 +299,8 @@
 	e.completeDue()
 }
 
+// handleCommand handles one command of a peer: "serve" brings a job, "cancel" cancels one, "health" and "gauges" are probes. Malformed
+// and unknown commands are ignored.
 func (e *Engine) handleCommand(conn net.Conn, incarnation int, args []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
