--- a/cmd/yarrowbarrow/build_test.go
+++ b/cmd/yarrowbarrow/build_test.go
@@ -12,7 +12,7 @@
 )
 
 // deployed gives a text of the deploy file.
-func deployed(t *testing.T, key string) string {
+func deploySetting(t *testing.T, key string) string {
 	t.Helper()
 	file, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -34,33 +34,33 @@
 // TestDeployedProgram: what the platform builds is dynamically linked against the C library and nothing else, as it
 // loads a library of its own beside it, and it runs in the process that it starts.
 func TestDeployedProgram(t *testing.T) {
-	words := strings.Fields(deployed(t, "run"))
-	if len(words) < 2 || words[0] != "exec" {
-		t.Fatal("run starts a process of its own: ", words)
+	runCommand := strings.Fields(deploySetting(t, "run"))
+	if len(runCommand) < 2 || runCommand[0] != "exec" {
+		t.Fatal("run starts a process of its own: ", runCommand)
 	}
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	build := exec.Command("sh", "-c", deployed(t, "build"))
+	build := exec.Command("sh", "-c", deploySetting(t, "build"))
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	program, err := elf.Open(filepath.Join(root, words[1]))
+	program, err := elf.Open(filepath.Join(root, runCommand[1]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer program.Close()
-	linker := ""
-	for _, part := range program.Progs {
-		if part.Type == elf.PT_INTERP {
-			text, _ := io.ReadAll(part.Open())
-			linker = filepath.Base(strings.TrimRight(string(text), "\x00"))
+	interpreter := ""
+	for _, segment := range program.Progs {
+		if segment.Type == elf.PT_INTERP {
+			path, _ := io.ReadAll(segment.Open())
+			interpreter = filepath.Base(strings.TrimRight(string(path), "\x00"))
 		}
 	}
-	if !strings.HasPrefix(linker, "ld-linux") {
-		t.Error("no dynamic linker of the C library: ", linker)
+	if !strings.HasPrefix(interpreter, "ld-linux") {
+		t.Error("no dynamic linker of the C library: ", interpreter)
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil || len(libraries) == 0 {
--- a/cmd/yarrowbarrow/check.go
+++ b/cmd/yarrowbarrow/check.go
@@ -22,7 +22,7 @@
 }
 
 // read gives the platform's configuration, or nil where none is named.
-func (p platformFlag) read() (*config.Config, *lang.Platform, error) {
+func (p platformFlag) readPlatform() (*config.Config, *lang.Platform, error) {
 	if p.Platform == "" {
 		return nil, nil, nil
 	}
@@ -50,20 +50,20 @@
 }
 
 func (c *checkCommand) Run(out *output) error {
-	_, platform, err := c.read()
+	_, platform, err := c.readPlatform()
 	if err != nil {
 		return err
 	}
-	var all lang.Messages
+	var messages lang.Messages
 	for _, path := range c.Files {
-		all = append(all, lang.Load(path, platform).Messages...)
+		messages = append(messages, lang.Load(path, platform).Messages...)
 	}
 	if c.JSON {
-		err = all.JSON(out)
+		err = messages.JSON(out)
 	} else {
-		err = all.Print(out)
+		err = messages.Print(out)
 	}
-	if err == nil && all.Errors() > 0 {
+	if err == nil && messages.Errors() > 0 {
 		err = errFindings
 	}
 	return err
@@ -89,37 +89,37 @@
 		if err != nil {
 			return err
 		}
-		now, err := lang.Format("standard input", raw)
+		formatted, err := lang.Format("standard input", raw)
 		if err != nil {
 			return err
 		}
-		_, err = out.Write(now)
+		_, err = out.Write(formatted)
 		return err
 	}
 	changed := false
 	for _, path := range f.Files {
-		was, now, err := lang.FormatFile(path)
+		original, formatted, err := lang.FormatFile(path)
 		if err != nil {
 			return err
 		}
-		same := bytes.Equal(was, now)
-		if f.List && !same {
+		unchanged := bytes.Equal(original, formatted)
+		if f.List && !unchanged {
 			fmt.Fprintln(out, path)
 		}
-		if f.Diff && !same {
-			fmt.Fprint(out, lineDiff(path, string(was), string(now)))
+		if f.Diff && !unchanged {
+			fmt.Fprint(out, unifiedDiff(path, string(original), string(formatted)))
 		}
-		if f.Write && !same {
-			if err := replace(path, now); err != nil {
+		if f.Write && !unchanged {
+			if err := replaceFile(path, formatted); err != nil {
 				return err
 			}
 		}
 		if !f.List && !f.Diff && !f.Write {
-			if _, err := out.Write(now); err != nil {
+			if _, err := out.Write(formatted); err != nil {
 				return err
 			}
 		}
-		changed = changed || !same
+		changed = changed || !unchanged
 	}
 	if changed && (f.List || f.Diff) && !f.Write {
 		return errFindings
@@ -128,20 +128,20 @@
 }
 
 // replace writes a file at once or not at all, with the rights that it has. A link stays one.
-func replace(path string, now []byte) error {
-	real, err := filepath.EvalSymlinks(path)
+func replaceFile(path string, content []byte) error {
+	target, err := filepath.EvalSymlinks(path)
 	if err != nil {
 		return err
 	}
-	info, err := os.Stat(real)
+	info, err := os.Stat(target)
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(real, now, info.Mode().Perm())
+	return renameio.WriteFile(target, content, info.Mode().Perm())
 }
 
 // lineDiff shows the lines that differ between two texts.
-func lineDiff(path, was, now string) string {
-	edits := myers.ComputeEdits(span.URIFromPath(path), was, now)
-	return fmt.Sprint(gotextdiff.ToUnified(path, path+" (formatted)", was, edits))
+func unifiedDiff(path, original, formatted string) string {
+	edits := myers.ComputeEdits(span.URIFromPath(path), original, formatted)
+	return fmt.Sprint(gotextdiff.ToUnified(path, path+" (formatted)", original, edits))
 }
--- a/cmd/yarrowbarrow/demo.go
+++ b/cmd/yarrowbarrow/demo.go
@@ -18,26 +18,30 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
+// demoCommand runs a controller under load between fake engines, in one process.
 type demoCommand struct {
-	Operators string `name:"operators" arg:"" optional:"" default:"deploy/operator.conf" help:"The operators' file to serve with."`
-	Seconds   int    `name:"seconds" default:"60" help:"How long the load lasts, 6 to 600."`
-	Seed      int64  `name:"seed" default:"1" help:"Of the load."`
+	OperatorsFile string `name:"operators" arg:"" optional:"" default:"deploy/operator.conf" help:"The operators' file to serve with."`
+	Seconds       int    `name:"seconds" default:"60" help:"Duration of the load in seconds, 6 to 600."`
+	Seed          int64  `name:"seed" default:"1" help:"Seed of the random load."`
 }
 
 func (demoCommand) Help() string {
-	return `Starts two stand-in engines in each of two rooms and discovery in this process, serves with the file, and plays a mixed
-load in which an engine of the east dies, half of the time later its room is lost, and both come back cold.
+	return `Starts two fake engines in each of two rooms and a fake discovery service in this process, serves with the operators' file
+and sends a mixed load. Early in the run one engine of room east crashes, later both do. Each time they restart cold,
+that is, they begin at a reduced speed.
 
   yarrowbarrow demo
   yarrowbarrow demo --seconds 20 deploy/operator.conf`
 }
 
-// The demo's classes. The stand-ins hold 4 jobs each, so that both rooms together are loaded to about a half.
-var demoKinds = []load.Kind{
+// demoJobKinds is the load of the demo. Each fake engine runs 4 jobs at full speed, so that the two rooms together are at about half
+// of their capacity.
+var demoJobKinds = []load.Kind{
 	{Type: "lookup", PerSecond: 120, Work: 20 * time.Millisecond, Wait: 4 * time.Second, LatencyTarget: time.Second},
 	{Type: "load", PerSecond: 6, Work: 1200 * time.Millisecond, Wait: 15 * time.Second, LatencyTarget: 5 * time.Second, Told: true, Keyed: true},
 }
 
+// demoSettings are the settings that the demo's controller gets from the platform.
 const demoSettings = `{"balancers":1,"rank":0,"zone":"east","tick":5000000,"discovery":"pushed",
 "classes":[{"name":"lookup","aim":1000000000,"deadline":4000000000,"gain":1,"late_worth":0.3,"repeat":"retryable"},
 {"name":"load","aim":5000000000,"deadline":15000000000,"gain":4,"late_worth":0.6,"repeat":"dedup","group":"all","key_ttl":12000000000}],
@@ -46,225 +50,237 @@
 "may_cancel":true,"probes":true,"retry_after":true,"streams_per_conn":32,"open_cap":20000},
 "safety":{"cold":5000000000,"fall":1000000000,"start_capacity":0.33,"tip_multiple":3}}`
 
-// demoRoom is what the demo plays with.
-type demoRoom struct {
-	out       *output
-	discovery *discovery.Discovery
-	names     []string
-	engines   map[string]*engine.Engine
-	began     time.Time
+// demoRun is the state of one demo: the fake services, and the output.
+type demoRun struct {
+	out         *output
+	discovery   *discovery.Discovery
+	engineNames []string
+	engines     map[string]*engine.Engine
+	startedAt   time.Time
 }
 
-func (d *demoRoom) host(name, health string, born int64) discovery.Host {
+func (d *demoRun) host(name, health string, bornMillis int64) discovery.Host {
 	site, _, _ := strings.Cut(name, "-")
-	return discovery.Host{Host: name, Dial: d.engines[name].Address(), Site: site, Class: "std", Health: health, Born: born}
+	return discovery.Host{Host: name, Dial: d.engines[name].Address(), Site: site, Class: "std", Health: health, Born: bornMillis}
 }
 
-func (d *demoRoom) event(format string, args ...any) { fmt.Fprintf(d.out, "** "+format+"\n", args...) }
+// printEvent prints a line about a fault, a recovery or a decision, marked by asterisks.
+func (d *demoRun) printEvent(format string, args ...any) {
+	fmt.Fprintf(d.out, "** "+format+"\n", args...)
+}
 
-func (d *demoRoom) die(names ...string) {
+func (d *demoRun) crash(names ...string) {
 	for _, name := range names {
 		d.engines[name].Die()
 	}
 }
 
-// lists tells discovery of engines that are gone, or of ones that start anew.
-func (d *demoRoom) lists(health string, names ...string) {
+// updateDiscovery publishes a new health of engines to discovery. With health "active" it restarts them first; one that fails to
+// restart is left out.
+func (d *demoRun) updateDiscovery(health string, names ...string) {
 	var hosts []discovery.Host
 	for _, name := range names {
-		born := int64(0)
+		bornMillis := int64(0)
 		if health == "active" {
 			if err := d.engines[name].Return(); err != nil {
-				d.event("%v", err)
+				d.printEvent("%v", err)
 				continue
 			}
-			born = time.Now().UnixMilli()
+			bornMillis = time.Now().UnixMilli()
 		}
-		hosts = append(hosts, d.host(name, health, born))
+		hosts = append(hosts, d.host(name, health, bornMillis))
 	}
 	d.discovery.Tell(false, hosts...)
 }
 
 func (c *demoCommand) Run(log *slog.Logger, out *output) error {
 	length := time.Duration(min(max(c.Seconds, 6), 600)) * time.Second
-	d := &demoRoom{out: out, names: []string{"east-1", "east-2", "west-1", "west-2"}, engines: map[string]*engine.Engine{},
-		began: time.Now()}
+	demo := &demoRun{out: out, engineNames: []string{"east-1", "east-2", "west-1", "west-2"}, engines: map[string]*engine.Engine{},
+		startedAt: time.Now()}
 	var err error
-	if d.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
+	if demo.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	defer d.discovery.Close()
+	defer demo.discovery.Close()
 	var hosts []discovery.Host
-	for _, name := range d.names {
-		if d.engines[name], err = engine.Start("127.0.0.1:0", engine.Options{Cores: 4, Cold: 5 * time.Second}); err != nil {
+	for _, name := range demo.engineNames {
+		if demo.engines[name], err = engine.Start("127.0.0.1:0", engine.Options{Cores: 4, Cold: 5 * time.Second}); err != nil {
 			return err
 		}
-		hosts = append(hosts, d.host(name, "active", 0))
+		hosts = append(hosts, demo.host(name, "active", 0))
 	}
-	d.discovery.Tell(true, hosts...)
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	demo.discovery.Tell(true, hosts...)
+	placeholder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	address := free.Addr().String()
-	_ = free.Close()
-	raw, _ := json.Marshal(map[string]any{"name": "demo", "listen": address, "feed": d.discovery.Address(), "seed": "1",
-		"known": d.discovery.Since(0), "settings": json.RawMessage(demoSettings)})
-	cfg, err := config.Read(raw, "", "")
+	address := placeholder.Addr().String()
+	_ = placeholder.Close()
+	rawConfig, _ := json.Marshal(map[string]any{"name": "demo", "listen": address, "feed": demo.discovery.Address(), "seed": "1",
+		"known": demo.discovery.Since(0), "settings": json.RawMessage(demoSettings)})
+	cfg, err := config.Read(rawConfig, "", "")
 	if err != nil {
 		return err
 	}
 	platform := cfg.Platform()
-	checked := lang.Load(c.Operators, &platform)
-	if checked.Plan == nil {
-		_ = checked.Messages.Print(out)
+	operators := lang.Load(c.OperatorsFile, &platform)
+	if operators.Plan == nil {
+		_ = operators.Messages.Print(out)
 		return errFindings
 	}
-	cfg.Plan = checked.Plan
-	ctl := controller.New(cfg, slog.New(&demoLog{Handler: log.Handler(), out: d}))
+	cfg.Plan = operators.Plan
+	ctl := controller.New(cfg, slog.New(&demoLog{Handler: log.Handler(), demo: demo}))
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- ctl.Run(ctx) }()
-	if err := waitFor(address, 5*time.Second); err != nil {
+	runDone := make(chan error, 1)
+	go func() { runDone <- ctl.Run(ctx) }()
+	if err := waitForListener(address, 5*time.Second); err != nil {
 		stop()
 		return err
 	}
-	mix := &load.Mix{Kinds: demoKinds, Statement: func(_ load.Kind, work time.Duration) string {
+	mix := &load.Mix{Kinds: demoJobKinds, Statement: func(_ load.Kind, work time.Duration) string {
 		return engine.Work("select * from survey_17.form", work)
 	}}
-	fmt.Fprintf(out, "serving with %s for %v: %d routes, %d engines\n", c.Operators, length, len(cfg.Plan.Routes), len(d.names))
-	over := make(chan struct{})
-	go d.play(length, over)
-	go d.show(mix, ctl, over)
+	fmt.Fprintf(out, "serving with %s for %v: %d routes, %d engines\n", c.OperatorsFile, length, len(cfg.Plan.Routes), len(demo.engineNames))
+	finished := make(chan struct{})
+	go demo.injectFaults(length, finished)
+	go demo.printProgress(mix, ctl, finished)
 	err = mix.Run(address, 8, c.Seed, length)
-	close(over)
-	d.summary(mix, ctl)
+	close(finished)
+	demo.printSummary(mix, ctl)
 	stop()
-	if end := <-ended; err == nil {
-		err = end
+	if runErr := <-runDone; err == nil {
+		err = runErr
 	}
 	return err
 }
 
-func waitFor(address string, most time.Duration) error {
-	for until := time.Now().Add(most); ; {
+// waitForListener returns once a TCP connection to address succeeds, or with the last dial error after timeout.
+func waitForListener(address string, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); ; {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
 			return conn.Close()
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return err
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// play is the demo's story, by sixths of its time.
-func (d *demoRoom) play(length time.Duration, over chan struct{}) {
-	step := length / 12
-	for _, act := range []struct {
-		at int
-		do func()
+// injectFaults crashes and restarts engines on a fixed schedule, in twelfths of the demo's length, until finished is closed.
+func (d *demoRun) injectFaults(length time.Duration, finished chan struct{}) {
+	twelfth := length / 12
+	for _, step := range []struct {
+		twelfths int
+		run      func()
 	}{
-		{2, func() { d.event("east-2 dies; the list does not know"); d.die("east-2") }},
-		{3, func() { d.event("the list says that east-2 has gone"); d.lists("left", "east-2") }},
-		{5, func() { d.event("east-2 is back, cold"); d.lists("active", "east-2") }},
-		{7, func() { d.event("the east is lost"); d.die("east-1", "east-2"); d.lists("left", "east-1", "east-2") }},
-		{9, func() { d.event("the east is back, cold"); d.lists("active", "east-1", "east-2") }},
+		{2, func() { d.printEvent("east-2 crashes; discovery still lists it"); d.crash("east-2") }},
+		{3, func() { d.printEvent("discovery lists east-2 as gone"); d.updateDiscovery("left", "east-2") }},
+		{5, func() { d.printEvent("east-2 restarts cold"); d.updateDiscovery("active", "east-2") }},
+		{7, func() {
+			d.printEvent("room east crashes")
+			d.crash("east-1", "east-2")
+			d.updateDiscovery("left", "east-1", "east-2")
+		}},
+		{9, func() { d.printEvent("room east restarts cold"); d.updateDiscovery("active", "east-1", "east-2") }},
 	} {
 		select {
-		case <-over:
+		case <-finished:
 			return
-		case <-time.After(time.Duration(act.at)*step - d.since()):
-			act.do()
+		case <-time.After(time.Duration(step.twelfths)*twelfth - d.elapsed()):
+			step.run()
 		}
 	}
 }
 
-func (d *demoRoom) since() time.Duration { return time.Since(d.began) }
+func (d *demoRun) elapsed() time.Duration { return time.Since(d.startedAt) }
 
-// show prints a line each second: what was answered in it, what routes took, and what engines run.
-func (d *demoRoom) show(mix *load.Mix, ctl *controller.Controller, over chan struct{}) {
-	w := func(cells ...string) { fmt.Fprintln(d.out, strings.Join(cells, "  ")) }
-	w(fmt.Sprintf("%4s", "s"), fmt.Sprintf("%-30s", "done/rejected/cancelled, p50"), fmt.Sprintf("%-34s", "routes: taken (by fallback)"), "engines: running+waiting")
-	last, lastRoutes := map[string]load.Count{}, map[string]controller.RouteReport{}
-	for tick := time.NewTicker(time.Second); ; {
+// printProgress prints a line each second until finished is closed: jobs answered and jobs per route during that second, and the
+// current load of the engines.
+func (d *demoRun) printProgress(mix *load.Mix, ctl *controller.Controller, finished chan struct{}) {
+	printRow := func(cells ...string) { fmt.Fprintln(d.out, strings.Join(cells, "  ")) }
+	printRow(fmt.Sprintf("%4s", "s"), fmt.Sprintf("%-30s", "done/rejected/cancelled, p50"), fmt.Sprintf("%-34s", "routes: taken (by fallback)"), "engines: running+waiting")
+	previous, previousRoutes := map[string]load.Count{}, map[string]controller.RouteReport{}
+	for ticker := time.NewTicker(time.Second); ; {
 		select {
-		case <-over:
-			tick.Stop()
+		case <-finished:
+			ticker.Stop()
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		var answers, routes, engines []string
 		counts := mix.Counts()
-		for _, k := range demoKinds {
-			was, now := last[k.Type], counts[k.Type]
-			answers = append(answers, fmt.Sprintf("%s %d/%d/%d %v", k.Type, now.Done-was.Done, now.Rejected-was.Rejected,
-				now.Cancelled-was.Cancelled, load.Quantile(now.Took[len(was.Took):], 0.5).Round(time.Millisecond)))
+		for _, kind := range demoJobKinds {
+			before, now := previous[kind.Type], counts[kind.Type]
+			answers = append(answers, fmt.Sprintf("%s %d/%d/%d %v", kind.Type, now.Done-before.Done, now.Rejected-before.Rejected,
+				now.Cancelled-before.Cancelled, load.Quantile(now.Took[len(before.Took):], 0.5).Round(time.Millisecond)))
 		}
-		last = counts
-		for _, r := range ctl.Routes() {
-			was := lastRoutes[r.Name]
-			routes = append(routes, fmt.Sprintf("%s %d (%d)", r.Name, r.Taken-was.Taken, r.Fallback-was.Fallback))
-			lastRoutes[r.Name] = r
+		previous = counts
+		for _, report := range ctl.Routes() {
+			before := previousRoutes[report.Name]
+			routes = append(routes, fmt.Sprintf("%s %d (%d)", report.Name, report.Taken-before.Taken, report.Fallback-before.Fallback))
+			previousRoutes[report.Name] = report
 		}
-		for _, name := range d.names {
+		for _, name := range d.engineNames {
 			active, waiting := d.engines[name].Load()
 			engines = append(engines, fmt.Sprintf("%s %d+%d", name, active, waiting))
 		}
-		w(fmt.Sprintf("%4.0f", d.since().Seconds()), fmt.Sprintf("%-30s", strings.Join(answers, ", ")),
+		printRow(fmt.Sprintf("%4.0f", d.elapsed().Seconds()), fmt.Sprintf("%-30s", strings.Join(answers, ", ")),
 			fmt.Sprintf("%-34s", strings.Join(routes, ", ")), strings.Join(engines, ", "))
 	}
 }
 
-func (d *demoRoom) summary(mix *load.Mix, ctl *controller.Controller) {
+// printSummary prints totals by job type, route and engine, and how many jobs were answered twice or ran twice on one engine.
+func (d *demoRun) printSummary(mix *load.Mix, ctl *controller.Controller) {
 	w := tabwriter.NewWriter(d.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "\ntype\tjobs\tdone\tin time\tthrottled\tfailed\tlost\tp50\tp99")
 	counts := mix.Counts()
-	for _, k := range demoKinds {
-		n := counts[k.Type]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\n", k.Type, n.Sent, n.Done, n.InTime, n.Rejected, n.Cancelled, n.Lost,
-			load.Quantile(n.Took, 0.5).Round(time.Millisecond), load.Quantile(n.Took, 0.99).Round(time.Millisecond))
+	for _, kind := range demoJobKinds {
+		count := counts[kind.Type]
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\n", kind.Type, count.Sent, count.Done, count.InTime, count.Rejected, count.Cancelled, count.Lost,
+			load.Quantile(count.Took, 0.5).Round(time.Millisecond), load.Quantile(count.Took, 0.99).Round(time.Millisecond))
 	}
 	fmt.Fprintln(w, "\nroute\ttaken\tby a fallback\toverflowed\tmoved\trefused")
-	for _, r := range ctl.Routes() {
+	for _, report := range ctl.Routes() {
 		refused := int64(0)
-		for _, n := range r.Refused {
-			refused += n
+		for _, count := range report.Refused {
+			refused += count
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", r.Name, r.Taken, r.Fallback, r.Overflowed, r.Moved, refused)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", report.Name, report.Taken, report.Fallback, report.Overflowed, report.Moved, refused)
 	}
 	fmt.Fprintln(w, "\nengine\ttaken\tran\tcancelled")
 	doubled := 0
-	for _, name := range d.names {
-		a := d.engines[name].Audit()
-		doubled += a.Doubled
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", name, a.Taken, a.Ran, a.Cancelled)
+	for _, name := range d.engineNames {
+		audit := d.engines[name].Audit()
+		doubled += audit.Doubled
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", name, audit.Taken, audit.Ran, audit.Cancelled)
 	}
 	_ = w.Flush()
 	fmt.Fprintf(d.out, "\n%d jobs answered twice, %d run twice on one engine\n", mix.Doubled(), doubled)
 }
 
-// demoLog shows what the routes and the module say, among the lines of the demo.
+// demoLog prints the log messages of the routes and of the decision module as events of the demo, and drops other messages below
+// level warn.
 type demoLog struct {
 	slog.Handler
-	out *demoRoom
+	demo *demoRun
 }
 
-func (l *demoLog) Handle(ctx context.Context, r slog.Record) error {
-	if r.Message == "routes" || r.Message == "module" {
-		r.Attrs(func(a slog.Attr) bool {
-			l.out.event("%s: %s", r.Message, a.Value)
+func (l *demoLog) Handle(ctx context.Context, record slog.Record) error {
+	if record.Message == "routes" || record.Message == "module" {
+		record.Attrs(func(attr slog.Attr) bool {
+			l.demo.printEvent("%s: %s", record.Message, attr.Value)
 			return true
 		})
 		return nil
 	}
-	if r.Level < slog.LevelWarn {
+	if record.Level < slog.LevelWarn {
 		return nil
 	}
-	return l.Handler.Handle(ctx, r)
+	return l.Handler.Handle(ctx, record)
 }
 
 func (l *demoLog) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &demoLog{l.Handler.WithAttrs(attrs), l.out}
+	return &demoLog{l.Handler.WithAttrs(attrs), l.demo}
 }
--- a/cmd/yarrowbarrow/explain.go
+++ b/cmd/yarrowbarrow/explain.go
@@ -13,13 +13,13 @@
 )
 
 // loadFile reads a file that must be free of errors.
-func loadFile(path string, platform *lang.Platform, out *output) (*lang.Config, error) {
-	c := lang.Load(path, platform)
-	if c.Plan == nil {
-		_ = c.Messages.Print(out.log)
+func loadOperatorsFile(path string, platform *lang.Platform, out *output) (*lang.Config, error) {
+	loaded := lang.Load(path, platform)
+	if loaded.Plan == nil {
+		_ = loaded.Messages.Print(out.errOut)
 		return nil, errFindings
 	}
-	return c, nil
+	return loaded, nil
 }
 
 type diffCommand struct {
@@ -37,25 +37,25 @@
 }
 
 func (d *diffCommand) Run(out *output) error {
-	was, err := loadFile(d.Old, nil, out)
+	oldConfig, err := loadOperatorsFile(d.Old, nil, out)
 	if err != nil {
 		return err
 	}
-	now, err := loadFile(d.New, nil, out)
+	newConfig, err := loadOperatorsFile(d.New, nil, out)
 	if err != nil {
 		return err
 	}
-	changes, complete := lang.Diff(was, now)
+	changes, complete := lang.Diff(oldConfig, newConfig)
 	if d.JSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
 		if changes == nil {
 			changes = []lang.Change{}
 		}
-		err = e.Encode(map[string]any{"changes": changes, "complete": complete})
+		err = encoder.Encode(map[string]any{"changes": changes, "complete": complete})
 	} else {
-		for _, c := range changes {
-			fmt.Fprintln(out, c)
+		for _, change := range changes {
+			fmt.Fprintln(out, change)
 		}
 		if !complete {
 			fmt.Fprintln(out, "! there may be more jobs that go elsewhere: the routes are too many or too wide to follow all")
@@ -82,35 +82,35 @@
 }
 
 // explained is the form for other programs.
-type explained struct {
-	Job    string          `json:"job"`
-	Route  string          `json:"route,omitempty"`
-	Policy string          `json:"policy,omitempty"`
-	Limits []string        `json:"limits,omitempty"`
-	Pools  []explainedPool `json:"pools,omitempty"`
-	Passed []passedRoute   `json:"passed,omitempty"`
+type explanation struct {
+	Job           string            `json:"job"`
+	Route         string            `json:"route,omitempty"`
+	Policy        string            `json:"policy,omitempty"`
+	Limits        []string          `json:"limits,omitempty"`
+	Pools         []poolExplanation `json:"pools,omitempty"`
+	SkippedRoutes []skippedRoute    `json:"passed,omitempty"`
 }
 
-type explainedPool struct {
-	Pool     string           `json:"pool"`
-	Engines  []route.EngineID `json:"engines,omitempty"` // these four where engines are known
-	Others   int              `json:"others,omitempty"`  // engines that are no members
-	Stands   string           `json:"stands,omitempty"`
-	Fit      *bool            `json:"fit,omitempty"`
-	Overflow string           `json:"overflow,omitempty"`
+type poolExplanation struct {
+	Pool         string           `json:"pool"`
+	Engines      []route.EngineID `json:"engines,omitempty"` // these four where engines are known
+	OtherEngines int              `json:"others,omitempty"`  // engines that are no members
+	EngineCount  string           `json:"stands,omitempty"`
+	Available    *bool            `json:"fit,omitempty"`
+	Overflow     string           `json:"overflow,omitempty"`
 }
 
-type passedRoute struct {
-	Route string `json:"route"`
-	Why   string `json:"why"`
+type skippedRoute struct {
+	Route  string `json:"route"`
+	Reason string `json:"why"`
 }
 
 func (e *explainCommand) Run(out *output) error {
-	cfg, platform, err := e.read()
+	cfg, platform, err := e.readPlatform()
 	if err != nil {
 		return err
 	}
-	c, err := loadFile(e.File, platform, out)
+	operators, err := loadOperatorsFile(e.File, platform, out)
 	if err != nil {
 		return err
 	}
@@ -122,34 +122,34 @@
 	if cfg != nil {
 		engines = cfg.Engines()
 	}
-	found := c.Plan.Explain(&job, engines)
-	told := explained{Job: lang.Describe(&job)}
-	for _, p := range found.Passed {
-		told.Passed = append(told.Passed, passedRoute{string(p.Route.Name), p.Why})
+	found := operators.Plan.Explain(&job, engines)
+	result := explanation{Job: lang.Describe(&job)}
+	for _, pool := range found.Passed {
+		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(pool.Route.Name), pool.Why})
 	}
-	if r := found.Route; r != nil {
-		told.Route, told.Policy, told.Limits = string(r.Name), r.Policy.Name, r.Policy.Limits()
-		for _, v := range found.Pools {
-			p := explainedPool{Pool: string(v.Pool.Name), Overflow: string(v.Pool.Overflow)}
+	if matched := found.Route; matched != nil {
+		result.Route, result.Policy, result.Limits = string(matched.Name), matched.Policy.Name, matched.Policy.Limits()
+		for _, poolView := range found.Pools {
+			pool := poolExplanation{Pool: string(poolView.Pool.Name), Overflow: string(poolView.Pool.Overflow)}
 			if cfg != nil {
-				p.Engines, p.Others, p.Stands, p.Fit = v.Engines, v.Left, v.Stands, &v.Fit
+				pool.Engines, pool.OtherEngines, pool.EngineCount, pool.Available = poolView.Engines, poolView.Left, poolView.Stands, &poolView.Fit
 			}
-			told.Pools = append(told.Pools, p)
+			result.Pools = append(result.Pools, pool)
 		}
 	}
 	if e.JSON {
-		enc := json.NewEncoder(out)
-		enc.SetIndent("", "  ")
-		return enc.Encode(told)
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(result)
 	}
-	told.print(out)
+	result.print(out)
 	return nil
 }
 
-func (t *explained) print(out *output) {
+func (t *explanation) print(out *output) {
 	fmt.Fprintf(out, "job    %s\n", t.Job)
-	for _, p := range t.Passed {
-		fmt.Fprintf(out, "passed route %q, as it does not hold that %s\n", p.Route, p.Why)
+	for _, p := range t.SkippedRoutes {
+		fmt.Fprintf(out, "passed route %q, as it does not hold that %s\n", p.Route, p.Reason)
 	}
 	if t.Route == "" {
 		fmt.Fprintln(out, "route  none: any engine that its type allows")
@@ -159,15 +159,15 @@
 	if len(t.Pools) == 0 {
 		fmt.Fprintln(out, "pool   none: any engine that its type allows")
 	}
-	for n, p := range t.Pools {
-		word := "pool  "
-		if n > 0 {
-			word = "else  "
+	for index, p := range t.Pools {
+		label := "pool  "
+		if index > 0 {
+			label = "else  "
 		}
-		fmt.Fprintf(out, "%s %s", word, p.Pool)
-		if p.Fit != nil {
-			fmt.Fprintf(out, ": %s, of %d that are known", p.Stands, len(p.Engines)+p.Others)
-			if !*p.Fit {
+		fmt.Fprintf(out, "%s %s", label, p.Pool)
+		if p.Available != nil {
+			fmt.Fprintf(out, ": %s, of %d that are known", p.EngineCount, len(p.Engines)+p.OtherEngines)
+			if !*p.Available {
 				fmt.Fprint(out, "; not fit, so that it is passed over")
 			}
 		}
@@ -175,8 +175,8 @@
 			fmt.Fprintf(out, "; what waits there for long may also go to %s", p.Overflow)
 		}
 		fmt.Fprintln(out)
-		for _, e := range p.Engines {
-			fmt.Fprintf(out, "       %s\n", e)
+		for _, engine := range p.Engines {
+			fmt.Fprintf(out, "       %s\n", engine)
 		}
 	}
 	if t.Policy != "" {
@@ -190,17 +190,17 @@
 }
 
 func (r *routesCommand) Run(out *output) error {
-	_, platform, err := r.read()
+	_, platform, err := r.readPlatform()
 	if err != nil {
 		return err
 	}
-	c, err := loadFile(r.File, platform, out)
+	operators, err := loadOperatorsFile(r.File, platform, out)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "#\troute\tmatch\tpools\tpolicy")
-	for n, r := range c.Plan.Routes {
+	for n, r := range operators.Plan.Routes {
 		var pools []string
 		for _, p := range r.Pools {
 			pools = append(pools, string(p.Name))
@@ -227,15 +227,15 @@
 // Run writes a script that completes commands and their flags, and else files.
 func (completionCommand) Run(out *output, parser *kong.Kong) error {
 	var cases, names []string
-	flags := func(n *kong.Node) (all []string) {
-		for _, f := range n.Flags {
-			all = append(all, "--"+f.Name)
+	flagNames := func(node *kong.Node) (long []string) {
+		for _, flag := range node.Flags {
+			long = append(long, "--"+flag.Name)
 		}
-		return all
+		return long
 	}
-	for _, n := range parser.Model.Children {
-		names = append(names, n.Name)
-		cases = append(cases, fmt.Sprintf("    %s) words=\"%s\" ;;", n.Name, strings.Join(append(flags(n), flags(parser.Model.Node)...), " ")))
+	for _, node := range parser.Model.Children {
+		names = append(names, node.Name)
+		cases = append(cases, fmt.Sprintf("    %s) words=\"%s\" ;;", node.Name, strings.Join(append(flagNames(node), flagNames(parser.Model.Node)...), " ")))
 	}
 	_, err := fmt.Fprintf(out, `_yarrowbarrow() {
   local word=${COMP_WORDS[COMP_CWORD]} words="%s"
@@ -246,6 +246,6 @@
   [ $COMP_CWORD -gt 1 ] && [ "${word#-}" = "$word" ] && COMPREPLY=($(compgen -f -- "$word"))
 }
 complete -o filenames -F _yarrowbarrow yarrowbarrow
-`, strings.Join(append(names, flags(parser.Model.Node)...), " "), strings.Join(cases, "\n"))
+`, strings.Join(append(names, flagNames(parser.Model.Node)...), " "), strings.Join(cases, "\n"))
 	return err
 }
--- a/cmd/yarrowbarrow/fleet.go
+++ b/cmd/yarrowbarrow/fleet.go
@@ -20,8 +20,9 @@
 	"yarrowbarrow/lab/fleet/report"
 )
 
+// fleetCommands are the commands that run load tests of many controller processes against fake engines.
 type fleetCommands struct {
-	Play    fleetCommand   `name:"play" cmd:"" default:"withargs" help:"Play a fleet (also without a word)."`
+	Play    playCommand    `name:"play" cmd:"" default:"withargs" help:"Play a fleet (also without a word)."`
 	Compare compareCommand `name:"compare" cmd:"" help:"Play two policies or builds in pairs on the same seeds, and tell the difference with its interval."`
 	Days    daysCommand    `name:"days" cmd:"" help:"Play days on which operators have seen things go wrong, and show one line for each."`
 	Soak    soakCommand    `name:"soak" cmd:"" help:"Play runs with faults that overlap, drawn from seeds, and show which broke a rule."`
@@ -29,191 +30,198 @@
 	Faults  faultsCommand  `name:"faults" cmd:"" help:"List what may go wrong."`
 }
 
-// fleetFlags are what a fleet is and what happens to it.
+// fleetFlags set the size of a test fleet, its load and the faults to inject.
 type fleetFlags struct {
-	Controllers int           `name:"controllers" default:"100" help:"Processes of this program, 1 to 400."`
-	Engines     int           `name:"engines" default:"20" help:"Stand-in engines, 1 to 500."`
-	Cores       int           `name:"cores" default:"4" help:"Of each engine; its jobs share them."`
-	Uneven      bool          `name:"uneven" help:"Every third engine has twice the cores."`
-	PerSecond   float64       `name:"per-second" default:"8" help:"Jobs a second that a controller gets in the mean, of 76 ms core time each; some get several times as many."`
-	Rooms       int           `name:"rooms" default:"1" help:"That controllers and engines are in, by turns; faults on links cut them off."`
-	Ruled       bool          `name:"ruled" help:"Play jobs of all kinds that rules are about, non-idempotent, keyed, bound to a room."`
-	Length      time.Duration `name:"length" default:"15s" help:"How long the load lasts."`
-	Seed        int64         `name:"seed" default:"1" help:"Of the load and of whom faults strike."`
-	Faults      []string      `name:"fault" sep:";" placeholder:"FAULT" help:"What goes wrong, also several times, as in stop:0.3@5s/3s. The command fleet faults lists them."`
-	Script      string        `name:"script" type:"existingfile" placeholder:"FILE" help:"A file with a fault a line; # begins a comment."`
-	Chaos       int           `name:"chaos" placeholder:"N" help:"So many faults drawn from the seed, beside the others."`
+	Controllers    int           `name:"controllers" default:"100" help:"Number of controller processes, 1 to 400."`
+	Engines        int           `name:"engines" default:"20" help:"Number of fake engines, 1 to 500."`
+	CoresPerEngine int           `name:"cores" default:"4" help:"Cores of each engine; its jobs share them."`
+	UnevenEngines  bool          `name:"uneven" help:"Give every third engine twice the cores."`
+	PerSecond      float64       `name:"per-second" default:"8" help:"Mean jobs per second and controller, of 76 ms core time each; some controllers get several times as many."`
+	Rooms          int           `name:"rooms" default:"1" help:"Number of rooms, which controllers and engines are assigned to in turn; link faults cut rooms off."`
+	AllJobKinds    bool          `name:"ruled" help:"Send all kinds of jobs that rules apply to: non-idempotent, keyed, bound to a room."`
+	Duration       time.Duration `name:"length" default:"15s" help:"Duration of the load."`
+	Seed           int64         `name:"seed" default:"1" help:"Seed of the random load and of the choice of fault targets."`
+	Faults         []string      `name:"fault" sep:";" placeholder:"FAULT" help:"Fault to inject, such as stop:0.3@5s/3s; may be repeated. The command fleet faults lists the kinds."`
+	FaultScript    string        `name:"script" type:"existingfile" placeholder:"FILE" help:"File with one fault per line; # begins a comment."`
+	RandomFaults   int           `name:"chaos" placeholder:"N" help:"Number of random faults, drawn from the seed, in addition to the others."`
 }
 
-func (c *fleetFlags) options() (o fleet.Options, err error) {
-	o = fleet.Options{Controllers: min(max(c.Controllers, 1), 400), Engines: min(max(c.Engines, 1), 500), Cores: c.Cores, Uneven: c.Uneven,
-		Rooms: c.Rooms, Ruled: c.Ruled, PerSecond: c.PerSecond, Length: c.Length, Seed: c.Seed}
+// options converts the flags to options of a run. Counts that are out of range are clamped.
+func (c *fleetFlags) options() (options fleet.Options, err error) {
+	options = fleet.Options{Controllers: min(max(c.Controllers, 1), 400), Engines: min(max(c.Engines, 1), 500), Cores: c.CoresPerEngine, Uneven: c.UnevenEngines,
+		Rooms: c.Rooms, Ruled: c.AllJobKinds, PerSecond: c.PerSecond, Length: c.Duration, Seed: c.Seed}
 	for _, text := range c.Faults {
-		f, err := fleet.ParseFault(text)
+		fault, err := fleet.ParseFault(text)
 		if err != nil {
-			return o, err
+			return options, err
 		}
-		o.Faults = append(o.Faults, f)
+		options.Faults = append(options.Faults, fault)
 	}
-	if c.Script != "" {
-		file, err := os.Open(c.Script)
+	if c.FaultScript != "" {
+		file, err := os.Open(c.FaultScript)
 		if err != nil {
-			return o, err
+			return options, err
 		}
 		defer file.Close()
-		more, err := fleet.ReadScript(file)
+		scripted, err := fleet.ReadScript(file)
 		if err != nil {
-			return o, fmt.Errorf("%s: %w", c.Script, err)
+			return options, fmt.Errorf("%s: %w", c.FaultScript, err)
 		}
-		o.Faults = append(o.Faults, more...)
+		options.Faults = append(options.Faults, scripted...)
 	}
-	o.Faults = append(o.Faults, fleet.DrawFaults(c.Seed, c.Chaos, c.Length)...)
-	return o, nil
+	options.Faults = append(options.Faults, fleet.DrawFaults(c.Seed, c.RandomFaults, c.Duration)...)
+	return options, nil
 }
 
-// way is what decides in a run: a policy by its name, of this program or of another build of it, as in own@path.
-type way struct{ name, policy, program string }
+// contender is a policy in a given build of the program, as one side of a comparison. spec is its form on the command line, POLICY or
+// POLICY@PROGRAM; program is the path of the executable. policy is empty for the program's own decision module.
+type contender struct{ spec, policy, program string }
 
-func wayOf(text string) (way, error) {
-	policy, program, other := strings.Cut(text, "@")
-	if !other {
-		own, err := os.Executable()
+// parseContender reads POLICY, which means this program, or POLICY@PROGRAM, which means another build of it.
+func parseContender(spec string) (contender, error) {
+	policy, program, hasProgram := strings.Cut(spec, "@")
+	if !hasProgram {
+		executable, err := os.Executable()
 		if err != nil {
-			return way{}, err
+			return contender{}, err
 		}
-		program = own
+		program = executable
 	} else if _, err := os.Stat(program); err != nil {
-		return way{}, fmt.Errorf("%s: %w", text, err)
+		return contender{}, fmt.Errorf("%s: %w", spec, err)
 	}
 	if policy == "own" {
-		return way{text, "", program}, nil
+		return contender{spec, "", program}, nil
 	}
 	_, err := baseline.New(policy)
-	return way{text, policy, program}, err
+	return contender{spec, policy, program}, err
 }
 
-func (w way) play(ctx context.Context, o fleet.Options, log io.Writer) (fleet.Result, error) {
-	o.Program, o.Policy = w.program, w.policy
-	o.Say = func(format string, args ...any) {
-		fmt.Fprintf(log, "%s, seed %d: "+format+"\n", append([]any{w.name, o.Seed}, args...)...)
-	}
-	r, err := fleet.Run(ctx, o)
-	r.Policy = w.name
-	return r, err
+// run runs the fleet once with this policy and build. Messages of the run go to log.
+func (c contender) run(ctx context.Context, options fleet.Options, log io.Writer) (fleet.Result, error) {
+	options.Program, options.Policy = c.program, c.policy
+	options.Say = func(format string, args ...any) {
+		fmt.Fprintf(log, "%s, seed %d: "+format+"\n", append([]any{c.spec, options.Seed}, args...)...)
+	}
+	result, err := fleet.Run(ctx, options)
+	result.Policy = c.spec
+	return result, err
 }
 
-// broke tells whether a run went against the rules. The baselines are not made to keep all of them.
-func broke(r fleet.Result) bool {
-	if strings.HasPrefix(r.Policy, "own") {
-		return r.Audit.Broken()
+// brokeRules reports whether a run violated a rule that its policy has to keep. Baseline policies are not designed to keep all
+// rules, so for them only crashes count.
+func brokeRules(result fleet.Result) bool {
+	if strings.HasPrefix(result.Policy, "own") {
+		return result.Audit.Broken()
 	}
-	return r.Audit.Crashes > 0
+	return result.Audit.Crashes > 0
 }
 
-type fleetCommand struct {
+// playCommand runs a fleet once for each policy.
+type playCommand struct {
 	fleetFlags
-	Policies []string `name:"policies" default:"own,random" help:"What decides, one run each: own, random, round-robin, least-outstanding, two-choices; own@PATH for another build."`
+	Policies []string `name:"policies" default:"own,random" help:"Policies, one run each: own, random, round-robin, least-outstanding, two-choices; own@PATH for another build."`
 	JSON     bool     `name:"json" help:"Print the figures as JSON."`
 	HTML     string   `name:"html" type:"path" placeholder:"FILE" help:"Also write a page with plots."`
 }
 
-func (fleetCommand) Help() string {
-	return `Starts so many controllers as processes of their own between stand-in engines and discovery on loopback addresses, plays
-uneven load, and tells how evenly the engines were used, by what engines and clients saw. A fault is given as
-stop:0.3@5s/3s: what, the share of all it strikes, when, and for how long.
+func (playCommand) Help() string {
+	return `Starts each controller as a separate process, with fake engines and discovery services on loopback addresses, sends uneven
+load and reports how evenly the engines were used, as observed by engines and clients. A fault is written as
+stop:0.3@5s/3s: its kind, the share of targets that it affects, its start and its duration.
   yarrowbarrow fleet
   yarrowbarrow fleet --controllers 30 --engines 8 --fault 'kill:0.7@5s' --policies own,two-choices
   yarrowbarrow fleet --rooms 2 --fault 'cut:0.5@5s/6s' --html cut.html`
 }
 
-func (c *fleetCommand) Run(out *output) error {
-	o, err := c.options()
+func (c *playCommand) Run(out *output) error {
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
-	o.Draw = c.HTML != ""
-	var ways []way
-	for _, text := range c.Policies {
-		w, err := wayOf(text)
+	options.Draw = c.HTML != ""
+	var contenders []contender
+	for _, spec := range c.Policies {
+		contender, err := parseContender(spec)
 		if err != nil {
 			return err
 		}
-		ways = append(ways, w)
+		contenders = append(contenders, contender)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	var results []fleet.Result
-	for _, w := range ways {
-		r, err := w.play(ctx, o, out.log)
+	for _, contender := range contenders {
+		result, err := contender.run(ctx, options, out.errOut)
 		if err != nil {
 			return err
 		}
-		results = append(results, r)
+		results = append(results, result)
 	}
 	if c.HTML != "" {
-		if err := c.write(o, results); err != nil {
+		if err := c.writePage(options, results); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		if err := asJSON(out, results); err != nil {
+		if err := writeJSON(out, results); err != nil {
 			return err
 		}
 	} else {
-		showFleet(out, results)
+		printFleet(out, results)
 	}
-	for _, r := range results {
-		if broke(r) {
+	for _, result := range results {
+		if brokeRules(result) {
 			return errFindings
 		}
 	}
 	return nil
 }
 
-func asJSON(out *output, value any) error {
-	text := json.NewEncoder(out)
-	text.SetIndent("", "  ")
-	return text.Encode(value)
+// writeJSON prints value as indented JSON.
+func writeJSON(out *output, value any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
 
-// write makes the page.
-func (c *fleetCommand) write(o fleet.Options, results []fleet.Result) error {
-	p := report.Page{Title: fmt.Sprintf("%d controllers, %d engines, %v", o.Controllers, o.Engines, o.Length), Faults: o.Faults,
+// writePage writes the HTML report to the file that the flag --html names.
+func (c *playCommand) writePage(options fleet.Options, results []fleet.Result) error {
+	page := report.Page{Title: fmt.Sprintf("%d controllers, %d engines, %v", options.Controllers, options.Engines, options.Length), Faults: options.Faults,
 		Results: results, Command: "yarrowbarrow " + strings.Join(os.Args[1:], " ")}
 	for _, row := range fleetRows(results) {
-		values := report.Row{Name: row.name}
-		for _, r := range results {
-			values.Values = append(values.Values, row.of(r))
+		pageRow := report.Row{Name: row.name}
+		for _, result := range results {
+			pageRow.Values = append(pageRow.Values, row.format(result))
 		}
-		p.Rows = append(p.Rows, values)
+		page.Rows = append(page.Rows, pageRow)
 	}
 	file, err := os.Create(c.HTML)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	if err := report.Write(file, p); err != nil {
+	if err := report.Write(file, page); err != nil {
 		return err
 	}
 	return file.Close()
 }
 
-// fleetRow is a line of the table.
+// fleetRow is a row of the result table. format returns its cell for a run.
 type fleetRow struct {
-	name string
-	of   func(fleet.Result) string
+	name   string
+	format func(fleet.Result) string
 }
 
-// fleetFigures are the numbers of a run.
-func fleetFigures(results []fleet.Result) (all []fleet.Figure) {
-	add := func(name, form string, of func(fleet.Result) float64) {
-		all = append(all, fleet.Figure{Name: name, Form: form, Of: of})
+// fleetFigures returns the figures that are shown for each run. The windows are those of the first result.
+func fleetFigures(results []fleet.Result) (figures []fleet.Figure) {
+	add := func(name, format string, value func(fleet.Result) float64) {
+		figures = append(figures, fleet.Figure{Name: name, Form: format, Of: value})
 	}
 	if len(results) > 0 {
-		for n, window := range results[0].Figures.Windows {
-			add(fmt.Sprintf("busiest engine over the mean, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[n].Busiest })
-			add(fmt.Sprintf("idlest, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[n].Idlest })
-			add(fmt.Sprintf("variation, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[n].Variance })
+		for index, window := range results[0].Figures.Windows {
+			add(fmt.Sprintf("busiest engine over the mean, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Busiest })
+			add(fmt.Sprintf("idlest, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Idlest })
+			add(fmt.Sprintf("variation, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Variance })
 		}
 	}
 	add("herd: variance over mean, 50ms", "%.2f", func(r fleet.Result) float64 { return r.Figures.Herd })
@@ -233,185 +241,190 @@
 	add("processor, % of a core", "%.1f", func(r fleet.Result) float64 { return 100 * r.CPU })
 	add("memory, MB", "%.1f", func(r fleet.Result) float64 { return r.Memory })
 	add("jobs", "%.0f", func(r fleet.Result) float64 { return float64(r.Figures.Jobs) })
-	return all
+	return figures
 }
 
+// fleetRows returns the rows of the result table: all figures, then what the audit counted as violations of the rules.
 func fleetRows(results []fleet.Result) (rows []fleetRow) {
-	for _, f := range fleetFigures(results) {
-		rows = append(rows, fleetRow{f.Name, func(r fleet.Result) string { return fmt.Sprintf(f.Form, f.Of(r)) }})
+	for _, figure := range fleetFigures(results) {
+		rows = append(rows, fleetRow{figure.Name, func(r fleet.Result) string { return fmt.Sprintf(figure.Form, figure.Of(r)) }})
 	}
-	pair := func(name string, of func(fleet.Audit) (int, int)) {
+	addPair := func(name string, counts func(fleet.Audit) (int, int)) {
 		rows = append(rows, fleetRow{name, func(r fleet.Result) string {
-			a, b := of(r.Audit)
-			return fmt.Sprintf("%d, %d", a, b)
+			first, second := counts(r.Audit)
+			return fmt.Sprintf("%d, %d", first, second)
 		}})
 	}
-	pair("rule 1: lost, answered twice", func(a fleet.Audit) (int, int) { return a.Lost, a.Doubled })
-	pair("rule 2 repeated, 3 after a drain", func(a fleet.Audit) (int, int) { return a.Repeated, a.Drained })
+	addPair("rule 1: lost, answered twice", func(first fleet.Audit) (int, int) { return first.Lost, first.Doubled })
+	addPair("rule 2 repeated, 3 after a drain", func(first fleet.Audit) (int, int) { return first.Repeated, first.Drained })
 	rows = append(rows, fleetRow{"rule 4 felled, most of what fells", func(r fleet.Result) string {
 		return fmt.Sprintf("%d, %.2f", r.Audit.Felled, r.Audit.Cold)
 	}})
-	pair("rule 6 misplaced, 7 over budget", func(a fleet.Audit) (int, int) { return a.Strayed, a.Excess })
-	pair("at two engines at once, crashed", func(a fleet.Audit) (int, int) { return a.Together, a.Crashes })
+	addPair("rule 6 misplaced, 7 over budget", func(first fleet.Audit) (int, int) { return first.Strayed, first.Excess })
+	addPair("at two engines at once, crashed", func(first fleet.Audit) (int, int) { return first.Together, first.Crashes })
 	return rows
 }
 
-// showFleet prints a row for each figure and a column for each run.
-func showFleet(out *output, results []fleet.Result) {
+// printFleet prints a table with a row for each figure and a column for each run.
+func printFleet(out *output, results []fleet.Result) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	rows := append([]fleetRow{{"", func(r fleet.Result) string { return r.Policy }}}, fleetRows(results)...)
 	for _, row := range rows {
 		fmt.Fprint(w, row.name, "\t")
 		for _, r := range results {
-			fmt.Fprint(w, row.of(r), "\t")
+			fmt.Fprint(w, row.format(r), "\t")
 		}
 		fmt.Fprintln(w)
 	}
 	_ = w.Flush()
 }
 
+// compareCommand runs two contenders in pairs on the same seeds.
 type compareCommand struct {
-	A     string `name:"a" arg:"" help:"A policy as for play, such as own or two-choices, or own@PATH for another build."`
-	B     string `name:"b" arg:"" help:"What is compared with it."`
-	Pairs int    `name:"pairs" default:"5" help:"Played on so many seeds, each with both, in turns of who is first."`
-	JSON  bool   `name:"json" help:"Print as JSON."`
+	First  string `name:"a" arg:"" help:"First policy, as for the command play, such as own or two-choices, or own@PATH for another build."`
+	Second string `name:"b" arg:"" help:"Second policy, compared with the first."`
+	Pairs  int    `name:"pairs" default:"5" help:"Number of seeds; both policies run on each, and take turns in running first."`
+	JSON   bool   `name:"json" help:"Print as JSON."`
 	fleetFlags
 }
 
 func (compareCommand) Help() string {
-	return `The interval is that in which the difference lies in 19 of 20 such comparisons; a figure is marked where it is all on one
-side of nought. With some twenty figures one is marked by chance.
+	return `The interval is the 95% confidence interval of the difference; a figure is marked with an asterisk if its interval does not
+contain zero. With about twenty figures, one is expected to be marked by chance.
   yarrowbarrow fleet compare own@before/yarrowbarrow own --fault 'kill:0.7@5s'`
 }
 
 func (c *compareCommand) Run(out *output) error {
-	o, err := c.options()
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
-	var ways [2]way
-	for n, text := range []string{c.A, c.B} {
-		if ways[n], err = wayOf(text); err != nil {
+	var contenders [2]contender
+	for index, spec := range []string{c.First, c.Second} {
+		if contenders[index], err = parseContender(spec); err != nil {
 			return err
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	var results [2][]fleet.Result
-	broken := false
+	rulesBroken := false
 	for pair := range max(c.Pairs, 1) {
-		for turn := range ways {
-			n := (turn + pair) % len(ways)
-			o.Seed = c.Seed + int64(pair)
-			r, err := ways[n].play(ctx, o, out.log)
+		for order := range contenders {
+			index := (order + pair) % len(contenders)
+			options.Seed = c.Seed + int64(pair)
+			result, err := contenders[index].run(ctx, options, out.errOut)
 			if err != nil {
 				return err
 			}
-			results[n] = append(results[n], r)
-			if broke(r) {
-				broken = true
-				fmt.Fprintf(out.log, "%s, seed %d: %+v\n", ways[n].name, o.Seed, r.Audit)
+			results[index] = append(results[index], result)
+			if brokeRules(result) {
+				rulesBroken = true
+				fmt.Fprintf(out.errOut, "%s, seed %d: %+v\n", contenders[index].spec, options.Seed, result.Audit)
 			}
 		}
 	}
-	all := fleet.Compare(results[0], results[1], fleetFigures(results[0]))
+	comparisons := fleet.Compare(results[0], results[1], fleetFigures(results[0]))
 	if c.JSON {
-		err = asJSON(out, all)
+		err = writeJSON(out, comparisons)
 	} else {
-		showComparison(out, c, all)
+		printComparison(out, c, comparisons)
 	}
-	if err == nil && broken {
+	if err == nil && rulesBroken {
 		err = errFindings
 	}
 	return err
 }
 
-func showComparison(out *output, c *compareCommand, all []fleet.Compared) {
+// printComparison prints a row for each figure: both means, their difference and its interval.
+func printComparison(out *output, c *compareCommand, comparisons []fleet.Compared) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%d pairs\t%s\t%s\tdifference\tin\t\t\n", c.Pairs, c.A, c.B)
-	for _, f := range all {
-		tells := ""
-		if f.Tells {
-			tells = "*"
+	fmt.Fprintf(w, "%d pairs\t%s\t%s\tdifference\tin\t\t\n", c.Pairs, c.First, c.Second)
+	for _, figure := range comparisons {
+		mark := ""
+		if figure.Tells {
+			mark = "*"
 		}
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%+.2f\t%+.2f to %+.2f\t%s\t\n", f.Name, f.MeanA, f.MeanB, f.Difference, f.Least, f.Most, tells)
+		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%+.2f\t%+.2f to %+.2f\t%s\t\n", figure.Name, figure.MeanA, figure.MeanB, figure.Difference, figure.Least, figure.Most, mark)
 	}
 	_ = w.Flush()
 }
 
+// daysCommand runs each policy through the named fault scenarios of fleet.Days.
 type daysCommand struct {
-	Only     []string `name:"only" help:"Of the days, by name."`
-	Policies []string `name:"policies" default:"own,two-choices" help:"As for play, each on each day."`
+	Only     []string `name:"only" help:"Names of the days to run; all by default."`
+	Policies []string `name:"policies" default:"own,two-choices" help:"Policies, as for the command play; each runs on each day."`
 	JSON     bool     `name:"json" help:"Print as JSON."`
 	fleetFlags
 }
 
 func (c *daysCommand) Run(out *output) error {
-	o, err := c.options()
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	type played struct {
+	type dayResult struct {
 		Day string `json:"day"`
 		fleet.Result
 	}
-	var all []played
-	broken := false
+	var results []dayResult
+	rulesBroken := false
 	for _, day := range fleet.Days {
 		if len(c.Only) > 0 && !slices.Contains(c.Only, day.Name) {
 			continue
 		}
-		so, err := day.Options(o)
+		dayOptions, err := day.Options(options)
 		if err != nil {
 			return err
 		}
-		for _, text := range c.Policies {
-			w, err := wayOf(text)
+		for _, spec := range c.Policies {
+			w, err := parseContender(spec)
 			if err != nil {
 				return err
 			}
-			r, err := w.play(ctx, so, out.log)
+			result, err := w.run(ctx, dayOptions, out.errOut)
 			if err != nil {
 				return err
 			}
-			all = append(all, played{day.Name, r})
-			broken = broken || broke(r)
+			results = append(results, dayResult{day.Name, result})
+			rulesBroken = rulesBroken || brokeRules(result)
 		}
 	}
 	if c.JSON {
-		err = asJSON(out, all)
+		err = writeJSON(out, results)
 	} else {
 		w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 		fmt.Fprintln(w, "day\tpolicy\tbusiest 1s\t10s\therd\tworst\tidle %\tthrottled %\tin time %\tworst %\tdials\tpeak\tfeed\tpeak\trules")
-		for _, p := range all {
-			f, rules := p.Figures, "kept"
-			if a := p.Audit; a.Broken() {
-				rules = fmt.Sprintf("%+v", a)
+		for _, result := range results {
+			figures, rules := result.Figures, "kept"
+			if audit := result.Audit; audit.Broken() {
+				rules = fmt.Sprintf("%+v", audit)
 			}
-			at := func(n int) float64 {
-				if n < len(f.Windows) {
-					return f.Windows[n].Busiest
+			busiest := func(window int) float64 {
+				if window < len(figures.Windows) {
+					return figures.Windows[window].Busiest
 				}
 				return 0
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\t%.1f\t%d\t%.1f\t%s\n", p.Day, p.Policy, at(1), at(2), f.Herd,
-				f.HerdMost, 100*f.Idle, 100*f.Rejected, 100*f.InTime, 100*f.Worst, f.Dials.Total, f.Dials.Most, f.DiscoveryCalls.Total,
-				f.DiscoveryCalls.Most, rules)
+			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\t%.1f\t%d\t%.1f\t%s\n", result.Day, result.Policy, busiest(1), busiest(2), figures.Herd,
+				figures.HerdMost, 100*figures.Idle, 100*figures.Rejected, 100*figures.InTime, 100*figures.Worst, figures.Dials.Total, figures.Dials.Most, figures.DiscoveryCalls.Total,
+				figures.DiscoveryCalls.Most, rules)
 		}
 		err = w.Flush()
 	}
-	if err == nil && broken {
+	if err == nil && rulesBroken {
 		err = errFindings
 	}
 	return err
 }
 
+// talkCommand measures the gossip membership in fleets of given sizes.
 type talkCommand struct {
-	Instances []int         `name:"instances" default:"20,100" help:"How many, one run each."`
-	Period    time.Duration `name:"period" default:"1s" help:"Between the probes of an instance."`
-	Seed      int64         `name:"seed" default:"1" help:"Of what the links lose."`
+	Instances []int         `name:"instances" default:"20,100" help:"Numbers of instances, one run for each number."`
+	Period    time.Duration `name:"period" default:"1s" help:"Interval between the probes of an instance."`
+	Seed      int64         `name:"seed" default:"1" help:"Seed of the random packet loss."`
 	JSON      bool          `name:"json" help:"Print as JSON."`
 }
 
@@ -420,55 +433,58 @@
 	if err != nil {
 		return err
 	}
-	// What an interrupt ends leaves nothing behind: the instances go with this process, their folder here.
+	// An interrupt must leave nothing behind: the instances end with this process, and their folder is removed on return.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	var all []fleet.Talk
-	for _, many := range c.Instances {
-		r, err := fleet.PlayTalk(ctx, program, min(max(many, 2), 400), c.Period, c.Seed, func(format string, args ...any) {
-			fmt.Fprintf(out.log, "%d: "+format+"\n", append([]any{many}, args...)...)
+	var results []fleet.Talk
+	for _, instances := range c.Instances {
+		result, err := fleet.PlayTalk(ctx, program, min(max(instances, 2), 400), c.Period, c.Seed, func(format string, args ...any) {
+			fmt.Fprintf(out.errOut, "%d: "+format+"\n", append([]any{instances}, args...)...)
 		})
 		if err != nil {
 			return err
 		}
-		all = append(all, r)
+		results = append(results, result)
 	}
 	if c.JSON {
-		return asJSON(out, all)
+		return writeJSON(out, results)
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	row := func(name string, of func(fleet.Talk) string) {
+	addRow := func(name string, value func(fleet.Talk) string) {
 		fmt.Fprint(w, name, "\t")
-		for _, r := range all {
-			fmt.Fprint(w, of(r), "\t")
+		for _, result := range results {
+			fmt.Fprint(w, value(result), "\t")
 		}
 		fmt.Fprintln(w)
 	}
-	s := func(d time.Duration) string { return fmt.Sprintf("%.2f s", d.Seconds()) }
-	row("instances", func(r fleet.Talk) string { return fmt.Sprint(r.Instances) })
-	row("all known after", func(r fleet.Talk) string { return s(r.Formed) })
-	row("age of words: half, 99 of 100", func(r fleet.Talk) string { return s(r.AgeHalf) + ", " + s(r.AgeMost) })
-	row("datagrams, bytes a second each", func(r fleet.Talk) string { return fmt.Sprintf("%.1f, %.0f", r.Datagrams, r.Bytes) })
-	row("processor, % of a core; memory, MB", func(r fleet.Talk) string { return fmt.Sprintf("%.2f, %.1f", 100*r.CPU, r.Memory) })
-	row("loss known: first, half, all", func(r fleet.Talk) string { return s(r.LossFirst) + ", " + s(r.LossHalf) + ", " + s(r.LossLast) })
-	row("wrongly gone: calm, 30% loss", func(r fleet.Talk) string { return fmt.Sprintf("%d, %d", r.WrongCalm, r.WrongLossy) })
-	row("healed after a split", func(r fleet.Talk) string { return s(r.Healed) })
+	seconds := func(d time.Duration) string { return fmt.Sprintf("%.2f s", d.Seconds()) }
+	addRow("instances", func(result fleet.Talk) string { return fmt.Sprint(result.Instances) })
+	addRow("all known after", func(result fleet.Talk) string { return seconds(result.Formed) })
+	addRow("age of words: half, 99 of 100", func(result fleet.Talk) string { return seconds(result.AgeHalf) + ", " + seconds(result.AgeMost) })
+	addRow("datagrams, bytes a second each", func(result fleet.Talk) string { return fmt.Sprintf("%.1f, %.0f", result.Datagrams, result.Bytes) })
+	addRow("processor, % of a core; memory, MB", func(result fleet.Talk) string { return fmt.Sprintf("%.2f, %.1f", 100*result.CPU, result.Memory) })
+	addRow("loss known: first, half, all", func(result fleet.Talk) string {
+		return seconds(result.LossFirst) + ", " + seconds(result.LossHalf) + ", " + seconds(result.LossLast)
+	})
+	addRow("wrongly gone: calm, 30% loss", func(result fleet.Talk) string { return fmt.Sprintf("%d, %d", result.WrongCalm, result.WrongLossy) })
+	addRow("healed after a split", func(result fleet.Talk) string { return seconds(result.Healed) })
 	return w.Flush()
 }
 
+// faultsCommand lists the kinds of faults with their descriptions.
 type faultsCommand struct{}
 
 func (faultsCommand) Run(out *output) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	for _, f := range fleet.FaultKinds() {
-		fmt.Fprintf(w, "%s\t%s\n", f[0], f[1])
+	for _, fault := range fleet.FaultKinds() {
+		fmt.Fprintf(w, "%s\t%s\n", fault[0], fault[1])
 	}
 	return w.Flush()
 }
 
-// baselineCommand is what the fleet starts to measure against.
+// baselineCommand serves with a baseline policy. Fleet runs start it to compare its results with those of the own policy.
 type baselineCommand struct {
-	Policy string `name:"policy" arg:"" help:"random, round-robin, least-outstanding or two-choices; or without-rule-1, -2, -3, -6 and -7, ours with a guard taken out."`
+	Policy string `name:"policy" arg:"" help:"random, round-robin, least-outstanding or two-choices; or without-rule-1, -2, -3, -6 or -7, the own policy with one guard removed."`
 }
 
 func (b *baselineCommand) Run(log *slog.Logger) error {
@@ -476,6 +492,6 @@
 	if err != nil {
 		return err
 	}
-	serve := serveCommand{change: func(c *controller.Controller) { c.Decide(module, baseline.Unguarded(b.Policy)) }}
+	serve := serveCommand{beforeRun: func(c *controller.Controller) { c.Decide(module, baseline.Unguarded(b.Policy)) }}
 	return serve.Run(log)
 }
--- a/cmd/yarrowbarrow/hangup.go
+++ b/cmd/yarrowbarrow/hangup.go
@@ -17,16 +17,16 @@
 // HUP has a controller read its configuration, USR1 has it print its counters. One that comes while the process is being started,
 // before the runtime can take signals, would end it: both are ignored from before the runtime's begin until serve waits for them,
 // and the configuration is read after that. Other commands end on HUP as usual.
-var hangup = make(chan os.Signal, 1)
+var hangups = make(chan os.Signal, 1)
 
-// endOnHangup is for commands that a terminal started.
-func endOnHangup() {
-	signal.Notify(hangup, syscall.SIGHUP)
+// exitOnHangup is for commands that a terminal started.
+func exitOnHangup() {
+	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
-		<-hangup
-		os.Exit(findings)
+		<-hangups
+		os.Exit(exitFindings)
 	}()
 }
 
-// stayOnHangup takes that back, once something else waits for the signal.
-func stayOnHangup() { signal.Stop(hangup) }
+// cancelExitOnHangup takes that back, once something else waits for the signal.
+func cancelExitOnHangup() { signal.Stop(hangups) }
--- a/cmd/yarrowbarrow/main.go
+++ b/cmd/yarrowbarrow/main.go
@@ -1,4 +1,5 @@
-// Command yarrowbarrow runs one controller, and checks, formats, compares and explains the operators' files.
+// Command yarrowbarrow runs one controller. It also checks, formats, compares and explains operators' files, and runs load tests
+// against fake engines.
 package main
 
 import (
@@ -14,15 +15,15 @@
 	"yarrowbarrow/internal/logsink"
 )
 
-// The exit codes.
+// Exit codes of the program. exitFindings also stands for every error other than wrong usage of the command line.
 const (
-	fine     = 0
-	findings = 1
-	usage    = 2
+	exitOK       = 0
+	exitFindings = 1
+	exitUsage    = 2
 )
 
-// commands is the command line. Without a word it serves, as the platform starts it.
-type commands struct {
+// commandLine holds the global flags and the commands. Without a command the program serves, which is how the platform starts it.
+type commandLine struct {
 	LogFormat string `name:"log-format" enum:"text,json" default:"text" help:"Form of the log: text or json."`
 	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"Least level that is logged: debug, info, warn or error."`
 
@@ -40,71 +41,73 @@
 	Completion completionCommand `name:"completion" cmd:"" help:"Write a completion script for bash."`
 }
 
-// lastLines is how long an ending process waits for the reader of its log.
-const lastLines = 100 * time.Millisecond
+// logFlushTimeout is how long the process waits at exit until the reader of its log has taken the remaining lines.
+const logFlushTimeout = 100 * time.Millisecond
 
-// errFindings ends with exit code 1 after all has been said.
+// errFindings makes the program exit with code 1 without printing an error, as the command has already reported its findings.
 var errFindings = errors.New("findings")
 
-// output is where commands write to; what is wrong goes to log.
+// output is what commands print to: results go to the Writer, error reports to errOut.
 type output struct {
 	io.Writer
-	log io.Writer
+	errOut io.Writer
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(args []string, out, log io.Writer) (code int) {
-	lines := logsink.New(log)
-	defer lines.Flush(lastLines)
-	if len(args) == 0 { // as the platform starts it: nothing of the command line is kept in memory
-		serve := serveCommand{Operators: os.Getenv("BALANCER_OPERATORS")}
-		return codeOf(serve.Run(slog.New(slog.NewTextHandler(lines, nil))), log)
+// run executes the command line args and returns the exit code of the process.
+func run(args []string, out, errOut io.Writer) (code int) {
+	logSink := logsink.New(errOut)
+	defer logSink.Flush(logFlushTimeout)
+	if len(args) == 0 { // the platform's invocation: skips the command line parser, so that it takes up no memory while serving
+		serve := serveCommand{OperatorsFile: os.Getenv("BALANCER_OPERATORS")}
+		return exitCodeOf(serve.Run(slog.New(slog.NewTextHandler(logSink, nil))), errOut)
 	}
-	endOnHangup()
-	var c commands
-	parser, err := kong.New(&c, kong.Name("yarrowbarrow"),
+	exitOnHangup()
+	var cli commandLine
+	parser, err := kong.New(&cli, kong.Name("yarrowbarrow"),
 		kong.Description("A workload manager before analytic engines. Exit codes: 0 fine, 1 findings, 2 usage."),
-		kong.UsageOnError(), kong.Writers(out, log), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.Exit(func(n int) { panic(exit(n)) }))
+		kong.UsageOnError(), kong.Writers(out, errOut), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+		kong.Exit(func(status int) { panic(exitCode(status)) }))
 	if err != nil {
-		fmt.Fprintln(log, err)
-		return usage
+		fmt.Fprintln(errOut, err)
+		return exitUsage
 	}
 	defer func() {
-		if e := recover(); e != nil {
-			n, is := e.(exit)
-			if !is {
-				panic(e)
+		if recovered := recover(); recovered != nil {
+			status, ok := recovered.(exitCode)
+			if !ok {
+				panic(recovered)
 			}
-			code = int(n)
+			code = int(status)
 		}
 	}()
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(log, "yarrowbarrow: %v\nTry: yarrowbarrow --help\n", err)
-		return usage
+		fmt.Fprintf(errOut, "yarrowbarrow: %v\nTry: yarrowbarrow --help\n", err)
+		return exitUsage
 	}
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(c.LogLevel)) // the parser knows the levels
+	_ = level.UnmarshalText([]byte(cli.LogLevel)) // can't fail: the parser has checked the level against the enum
 	options := &slog.HandlerOptions{Level: level}
-	logger := slog.New(slog.NewTextHandler(lines, options))
-	if c.LogFormat == "json" {
-		logger = slog.New(slog.NewJSONHandler(lines, options))
+	logger := slog.New(slog.NewTextHandler(logSink, options))
+	if cli.LogFormat == "json" {
+		logger = slog.New(slog.NewJSONHandler(logSink, options))
 	}
-	return codeOf(ctx.Run(logger, &output{out, log}, parser), log)
+	return exitCodeOf(ctx.Run(logger, &output{out, errOut}, parser), errOut)
 }
 
-func codeOf(err error, log io.Writer) int {
+// exitCodeOf maps the error of a command to an exit code, and prints the error unless it is errFindings.
+func exitCodeOf(err error, errOut io.Writer) int {
 	switch {
 	case errors.Is(err, errFindings):
-		return findings
+		return exitFindings
 	case err != nil:
-		fmt.Fprintln(log, "yarrowbarrow:", err)
-		return findings
+		fmt.Fprintln(errOut, "yarrowbarrow:", err)
+		return exitFindings
 	}
-	return fine
+	return exitOK
 }
 
-// exit is the code that help and the like end with.
-type exit int
+// exitCode is the panic value by which kong's exit hook unwinds to run, for example after it has printed a help text.
+type exitCode int
--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -15,143 +15,152 @@
 	"yarrowbarrow/member/gossip"
 )
 
-// tallied is the part of a message that carries counts; openJobs is one of them.
-const tallied, openJobs = 1, 1
+// tallyCargo identifies the part of a gossip message that carries the tally; openJobsKey is the key of the open job count in it.
+const tallyCargo, openJobsKey = 1, 1
 
-// countEvery is fine enough for figures that take some periods to go round.
-const countEvery = time.Second
+// countInterval is how often the open job count is sampled. A second is fine enough, as a value takes several gossip periods to
+// reach the whole fleet.
+const countInterval = time.Second
 
-// talk has an instance join its fleet, where one is set, and tell of it on its status socket. open counts jobs. end says
-// good-bye.
-func talk(cfg config.Config, open func() int, log *slog.Logger) (g *gossip.Gossip, end func(), err error) {
+// joinFleet makes this instance a member of the fleet in cfg and serves the fleet view on the status socket, if one is set.
+// countOpenJobs is sampled every countInterval. leave ends the sampling, closes the status socket and announces the departure to
+// the other members. Without a fleet in cfg, node is nil and leave does nothing.
+func joinFleet(cfg config.Config, countOpenJobs func() int, log *slog.Logger) (node *gossip.Gossip, leave func(), err error) {
 	if cfg.Fleet == nil {
 		return nil, func() {}, nil
 	}
-	f := cfg.Fleet
+	fleet := cfg.Fleet
 	listen, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, nil, err
 	}
-	counts := tally.New(member.Name(cfg.Name), member.Life(time.Now().UnixNano()), f.Members)
-	g, err = gossip.Start(gossip.Config{Cargo: map[byte]member.Cargo{tallied: counts}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), f.Port).String(), Told: f.Told, Seeds: f.Seeds,
-		KeyFile: f.KeyFile, Period: f.Period, Most: f.Members, BytesPS: f.Traffic}, log.With("fleet", f.Name))
+	fleetTally := tally.New(member.Name(cfg.Name), member.Life(time.Now().UnixNano()), fleet.Members)
+	node, err = gossip.Start(gossip.Config{Cargo: map[byte]member.Cargo{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), Told: fleet.Told, Seeds: fleet.Seeds,
+		KeyFile: fleet.KeyFile, Period: fleet.Period, Most: fleet.Members, BytesPS: fleet.Traffic}, log.With("fleet", fleet.Name))
 	if err != nil {
 		return nil, nil, err
 	}
-	counting := time.NewTicker(countEvery)
+	ticker := time.NewTicker(countInterval)
 	go func() {
-		for range counting.C {
-			n := open()
-			g.With(func(time.Duration) { counts.Set(tally.Key{What: openJobs}, tally.Value(n)) })
+		for range ticker.C {
+			jobs := countOpenJobs()
+			node.With(func(time.Duration) { fleetTally.Set(tally.Key{What: openJobsKey}, tally.Value(jobs)) })
 		}
 	}()
-	var socket net.Listener
-	if f.Status != "" {
-		if socket, err = status.Serve(f.Status, func() any { return seenNow(g, counts) }); err != nil {
-			g.Close()
+	var statusListener net.Listener
+	if fleet.Status != "" {
+		if statusListener, err = status.Serve(fleet.Status, func() any { return currentView(node, fleetTally) }); err != nil {
+			node.Close()
 			return nil, nil, err
 		}
 	}
-	return g, func() {
-		counting.Stop()
-		if socket != nil {
-			socket.Close()
+	return node, func() {
+		ticker.Stop()
+		if statusListener != nil {
+			statusListener.Close()
 		}
-		g.Leave()
+		node.Leave()
 	}, nil
 }
 
-// seen is what an instance knows of its fleet. Times are in ns, -1 for never.
-type seen struct {
-	Name    string        `json:"name"`
-	Life    int64         `json:"life"`
-	Turn    uint32        `json:"turn"`
-	Contact string        `json:"contact"`
-	For     time.Duration `json:"for_ns"`
-	Members []seenMember  `json:"members"`
-	Missed  [][2]string   `json:"links_that_do_not_carry"` // who does not hear whom directly
-	Open    seenSum       `json:"open_jobs"`
-	Counts  gossip.Counts `json:"counts"`
+// fleetView is what an instance knows about its fleet, as sent on the status socket. Durations are in ns, negative for never.
+type fleetView struct {
+	Name        string        `json:"name"`
+	StartTime   int64         `json:"life"`    // of this process, in ns of Unix time
+	Incarnation uint32        `json:"turn"`    // incremented each time this process refutes a suspicion of itself
+	Contact     string        `json:"contact"` // how well this instance is connected to the others, such as connected or deaf
+	ContactAge  time.Duration `json:"for_ns"`  // how long Contact has had this value
+	Members     []memberView  `json:"members"`
+	BrokenLinks [][2]string   `json:"links_that_do_not_carry"` // pairs of members of which the first receives nothing from the second directly
+	OpenJobs    fleetSum      `json:"open_jobs"`
+	Counts      gossip.Counts `json:"counts"`
 }
 
-// seenSum is a count over the fleet: at least so many, by the words of some instances that are up to so old.
-type seenSum struct {
-	Least   int64         `json:"at_least"`
-	Fresh   int           `json:"instances"`
-	Unknown int           `json:"unknown"`
-	Oldest  time.Duration `json:"age_ns"`
+// fleetSum is a count summed over the instances whose data is fresh, this one included. As the others are missing from it, it is a
+// lower bound.
+type fleetSum struct {
+	AtLeast   int64         `json:"at_least"`
+	Instances int           `json:"instances"` // that the sum covers
+	Unknown   int           `json:"unknown"`   // other members that are alive or suspected, without fresh data
+	MaxAge    time.Duration `json:"age_ns"`    // of the oldest data in the sum
 }
 
-type seenMember struct {
-	Name    string        `json:"name"`
-	Address string        `json:"address"`
-	Life    int64         `json:"life"`
-	Status  string        `json:"status"`
-	Age     time.Duration `json:"age_ns"`
-	Hears   time.Duration `json:"hears_us_ns"`
-	Direct  time.Duration `json:"heard_ns"`
-	By      string        `json:"accused_by,omitempty"`
+// memberView is what an instance knows about one member.
+type memberView struct {
+	Name         string        `json:"name"`
+	Address      string        `json:"address"`
+	StartTime    int64         `json:"life"` // of its process, in ns of Unix time
+	Status       string        `json:"status"`
+	Age          time.Duration `json:"age_ns"`      // upper bound for the age of its newest message, direct or relayed
+	SinceHearsUs time.Duration `json:"hears_us_ns"` // since it last proved that it receives messages of this instance
+	SinceHeard   time.Duration `json:"heard_ns"`    // since a message came directly from it
+	AccusedBy    string        `json:"accused_by,omitempty"`
 }
 
-func seenNow(g *gossip.Gossip, counts *tally.Tally) seen {
-	v := g.View()
-	var there []member.Name
-	for _, m := range v.Members {
+// currentView takes a snapshot of the membership and of the tally.
+func currentView(node *gossip.Gossip, fleetTally *tally.Tally) fleetView {
+	view := node.View()
+	var present []member.Name
+	for _, m := range view.Members {
 		if m.Status == member.Alive || m.Status == member.Suspect {
-			there = append(there, m.Name)
+			present = append(present, m.Name)
 		}
 	}
 	var sum tally.Sum
-	g.With(func(now time.Duration) { sum = counts.Sum(now, tally.Key{What: openJobs}, v.Fresh, there, 0) })
-	s := seen{Name: string(v.Own.Name), Life: int64(v.Own.Life), Turn: v.Own.Turn, Contact: v.Contact.String(), For: v.Since,
-		Members: []seenMember{}, Missed: [][2]string{}, Counts: v.Counts,
-		Open: seenSum{int64(sum.Least), sum.Fresh, sum.Unknown, sum.Oldest}}
-	for _, link := range v.Missed {
-		s.Missed = append(s.Missed, [2]string{string(link.By), string(link.Whom)})
+	node.With(func(now time.Duration) {
+		sum = fleetTally.Sum(now, tally.Key{What: openJobsKey}, view.Fresh, present, 0)
+	})
+	result := fleetView{Name: string(view.Own.Name), StartTime: int64(view.Own.Life), Incarnation: view.Own.Turn, Contact: view.Contact.String(), ContactAge: view.Since,
+		Members: []memberView{}, BrokenLinks: [][2]string{}, Counts: view.Counts,
+		OpenJobs: fleetSum{int64(sum.Least), sum.Fresh, sum.Unknown, sum.Oldest}}
+	for _, link := range view.Missed {
+		result.BrokenLinks = append(result.BrokenLinks, [2]string{string(link.By), string(link.Whom)})
 	}
-	for _, m := range v.Members {
-		s.Members = append(s.Members, seenMember{string(m.Name), string(m.Address), int64(m.Life), m.Status.String(), m.Age, m.Hears,
+	for _, m := range view.Members {
+		result.Members = append(result.Members, memberView{string(m.Name), string(m.Address), int64(m.Life), m.Status.String(), m.Age, m.Hears,
 			m.Direct, string(m.By)})
 	}
-	return s
+	return result
 }
 
+// membersCommand prints the fleet view of a running instance.
 type membersCommand struct {
-	Socket string `name:"socket" required:"" type:"path" placeholder:"PATH" help:"The status socket of a running instance, as its operators' file names it."`
+	Socket string `name:"socket" required:"" type:"path" placeholder:"PATH" help:"The status socket of a running instance, as set in its operators' file."`
 	JSON   bool   `name:"json" help:"Print as JSON."`
 }
 
 func (membersCommand) Help() string {
-	return `Age is how old the newest word of a member is at most, by whichever way it came; hears is how long ago it last proved to
-hear this instance; heard is when a message of its own last came here, however long that was on its way.`
+	return `Age is an upper bound for the age of the newest message of a member, whether it came directly or through other members; hears
+is the time since the member last proved that it receives messages of this instance; heard is the time since a message came
+directly from the member, whatever its delay on the network.`
 }
 
 func (c *membersCommand) Run(out *output) error {
-	var s seen
-	if err := status.Ask(c.Socket, &s); err != nil {
+	var view fleetView
+	if err := status.Ask(c.Socket, &view); err != nil {
 		return err
 	}
 	if c.JSON {
-		return asJSON(out, s)
+		return writeJSON(out, view)
 	}
-	fmt.Fprintf(out, "%s is %s for %v; %d members\n", s.Name, s.Contact, s.For.Round(time.Second), len(s.Members))
-	fmt.Fprintf(out, "%d jobs open or more, by %d instances, words up to %v old; %d not known\n", s.Open.Least, s.Open.Fresh,
-		s.Open.Oldest.Round(10*time.Millisecond), s.Open.Unknown)
-	ago := func(d time.Duration) string {
-		if d < 0 {
+	fmt.Fprintf(out, "%s is %s for %v; %d members\n", view.Name, view.Contact, view.ContactAge.Round(time.Second), len(view.Members))
+	fmt.Fprintf(out, "%d jobs open or more, by %d instances, words up to %v old; %d not known\n", view.OpenJobs.AtLeast, view.OpenJobs.Instances,
+		view.OpenJobs.MaxAge.Round(10*time.Millisecond), view.OpenJobs.Unknown)
+	formatAge := func(age time.Duration) string {
+		if age < 0 {
 			return "-"
 		}
-		return d.Round(10 * time.Millisecond).String()
+		return age.Round(10 * time.Millisecond).String()
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tstatus\tage\thears\theard\taddress\taccused by")
-	for _, m := range s.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Status, ago(m.Age), ago(m.Hears), ago(m.Direct), m.Address, m.By)
+	for _, m := range view.Members {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Status, formatAge(m.Age), formatAge(m.SinceHearsUs), formatAge(m.SinceHeard), m.Address, m.AccusedBy)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, link := range s.Missed {
+	for _, link := range view.BrokenLinks {
 		fmt.Fprintf(out, "%s does not hear %s directly\n", link[0], link[1])
 	}
 	return nil
--- a/cmd/yarrowbarrow/serve.go
+++ b/cmd/yarrowbarrow/serve.go
@@ -11,71 +11,72 @@
 	"yarrowbarrow/controller"
 )
 
+// serveCommand runs one controller until it is told to end.
 type serveCommand struct {
-	change    func(*controller.Controller) // before it runs, or nil
-	Operators string                       `name:"operators" env:"BALANCER_OPERATORS" type:"path" placeholder:"FILE" help:"The operators' file; none: every job may go to every engine that its type allows."`
+	beforeRun     func(*controller.Controller) // adjusts the controller before Run; nil for none
+	OperatorsFile string                       `name:"operators" env:"BALANCER_OPERATORS" type:"path" placeholder:"FILE" help:"The operators' file. Without one, a job may be sent to any engine that its type allows."`
 }
 
 func (serveCommand) Help() string {
-	return `Configured by the environment: BALANCER_CONFIG names the platform's JSON file, BALANCER_NAME and
-BALANCER_LISTEN go before what it says. HUP reads all files again, USR1 logs the counters, TERM ends.
+	return `Configured by environment variables: BALANCER_CONFIG is the path of the platform's JSON file; BALANCER_NAME and
+BALANCER_LISTEN override its values. SIGHUP reloads all files, SIGUSR1 logs the counters, SIGTERM shuts down.
 
   BALANCER_CONFIG=deploy/example.json yarrowbarrow --operators deploy/operator.conf`
 }
 
 func (s *serveCommand) Run(log *slog.Logger) error {
-	// First of all, as a signal that nothing waits for would end the process. They stay awaited until it has ended: one that comes
-	// again, after all is answered, must not end it otherwise.
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	// SIGTERM and SIGINT are caught before anything else, as an uncaught one would kill the process. They stay caught until the
+	// process exits: a repeated signal that comes after all jobs have been answered must not change how it exits.
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // of a log whose reader has gone; sockets raise none
+	signal.Ignore(syscall.SIGPIPE) // a write to a log whose reader has exited would raise it; sockets raise none
 	slog.SetDefault(log)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	stayOnHangup()
-	read := func() (config.Config, error) { return config.FromEnvironment(s.Operators) }
-	cfg, err := read()
-	for _, m := range cfg.Messages {
-		log.Warn("operators' file", "says", m)
+	cancelExitOnHangup()
+	readConfig := func() (config.Config, error) { return config.FromEnvironment(s.OperatorsFile) }
+	cfg, err := readConfig()
+	for _, message := range cfg.Messages {
+		log.Warn("operators' file", "says", message)
 	}
 	if err != nil {
 		log.Error("configuration", "why", err)
 		return errFindings
 	}
-	c := controller.New(cfg, log.With("name", cfg.Name))
-	if s.change != nil {
-		s.change(c)
+	ctl := controller.New(cfg, log.With("name", cfg.Name))
+	if s.beforeRun != nil {
+		s.beforeRun(ctl)
 	}
-	fleet, leave, err := talk(cfg, c.OpenJobs, log.With("name", cfg.Name))
+	node, leaveFleet, err := joinFleet(cfg, ctl.OpenJobs, log.With("name", cfg.Name))
 	if err != nil {
 		log.Error("fleet", "why", err)
 		return errFindings
 	}
-	defer leave()
+	defer leaveFleet()
 	go func() {
 		<-terminate
-		end()
+		cancel()
 	}()
-	show := make(chan os.Signal, 1)
-	signal.Notify(show, syscall.SIGUSR1)
+	logCounters := make(chan os.Signal, 1)
+	signal.Notify(logCounters, syscall.SIGUSR1)
 	go func() {
-		for range show {
-			c.LogCounters()
+		for range logCounters {
+			ctl.LogCounters()
 		}
 	}()
 	go func() {
 		for range reload {
-			_ = c.Reload(read) // which logs and counts what is wrong
-			if fleet != nil {
-				if err := fleet.ReadKeys(); err != nil {
-					log.Error("key not taken", "why", err)
+			_ = ctl.Reload(readConfig) // Reload logs and counts its own errors
+			if node != nil {
+				if err := node.ReadKeys(); err != nil {
+					log.Error("fleet key file not reloaded; keeping the previous keys", "why", err)
 				}
 			}
 		}
 	}()
-	if err := c.Run(ctx); err != nil {
+	if err := ctl.Run(ctx); err != nil {
 		log.Error("ended", "why", err)
 		return errFindings
 	}
--- a/cmd/yarrowbarrow/soak.go
+++ b/cmd/yarrowbarrow/soak.go
@@ -11,56 +11,55 @@
 	"yarrowbarrow/lab/fleet"
 )
 
-// soakCommand plays the randomized fault soak.
+// soakCommand runs the soak test: fleets of random size under random overlapping faults, one run for each seed.
 type soakCommand struct {
-	Seeds   int           `name:"seeds" default:"50" help:"How many runs, each of a seed of its own."`
-	From    int64         `name:"from" default:"1" help:"The first seed."`
-	Beside  int           `name:"beside" default:"2" help:"Runs at the same time. More than the machine bears shows as late answers."`
-	Length  time.Duration `name:"length" default:"6s" help:"How long the load of each lasts, 3s or more."`
-	Hostile bool          `name:"hostile" default:"true" negatable:"" help:"Peers that flood, crowds and signals beside the other faults."`
-	Program string        `name:"program" type:"existingfile" placeholder:"FILE" help:"Another build of the program to play."`
+	Seeds     int           `name:"seeds" default:"50" help:"Number of runs, each with its own seed."`
+	FirstSeed int64         `name:"from" default:"1" help:"First seed."`
+	Parallel  int           `name:"beside" default:"2" help:"Number of runs at the same time. If the machine is overloaded, answers are reported as late."`
+	Duration  time.Duration `name:"length" default:"6s" help:"Duration of the load of each run, at least 3s."`
+	Hostile   bool          `name:"hostile" default:"true" negatable:"" help:"In addition to the other faults, have peers that flood, crowds and signals."`
+	Program   string        `name:"program" type:"existingfile" placeholder:"FILE" help:"Another build of the program to run instead of this one."`
 }
 
-// Help is for the command line.
 func (soakCommand) Help() string {
-	return `Each run draws from its seed 10 to 40 processes, lists from a handful to thousands of engines, five to eleven faults on processes,
-engines, links, lists and clients that overlap in time, and controllers that are told to end and killed at the protocol's
-earliest. The verdict is the audit's, from the wire, and what the processes counted themselves.
+	return `From its seed, each run draws 10 to 40 processes, engine lists from a handful to thousands of entries, five to eleven
+overlapping faults on processes, engines, links, lists and clients, and controllers that get SIGTERM and are killed as soon
+as the protocol allows. Violations are found by an audit of the network traffic and by the processes' own counters.
   yarrowbarrow fleet soak --seeds 50 --from 1000`
 }
 
-// Run plays the seeds. It fails where a rule was broken.
+// Run runs all seeds and prints a line for each. It returns errFindings if any run violated a rule.
 func (c *soakCommand) Run(out *output) error {
 	program := c.Program
 	if program == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		program = own
+		program = executable
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	broken := 0
-	err := fleet.RunSoak(ctx, program, c.From, max(c.Seeds, 1), c.Beside, max(c.Length, 3*time.Second), c.Hostile, func(s fleet.Soaked) {
-		o, r := s.Options, s.Result
-		fmt.Fprintf(out, "seed %d: %d controllers of %d, %d engines, %d jobs, %.0f%% in time, %.1f%% of a core each, peak %.0f MB", s.Seed, o.Controllers,
-			max(o.Settled, o.Controllers), o.Engines, r.Figures.Jobs, 100*r.Figures.InTime, 100*r.CPU, r.PeakMB)
-		if !r.Audit.Broken() {
+	failedSeeds := 0
+	err := fleet.RunSoak(ctx, program, c.FirstSeed, max(c.Seeds, 1), c.Parallel, max(c.Duration, 3*time.Second), c.Hostile, func(soaked fleet.Soaked) {
+		options, result := soaked.Options, soaked.Result
+		fmt.Fprintf(out, "seed %d: %d controllers of %d, %d engines, %d jobs, %.0f%% in time, %.1f%% of a core each, peak %.0f MB", soaked.Seed, options.Controllers,
+			max(options.Settled, options.Controllers), options.Engines, result.Figures.Jobs, 100*result.Figures.InTime, 100*result.CPU, result.PeakMB)
+		if !result.Audit.Broken() {
 			fmt.Fprintln(out)
 			return
 		}
-		broken++
-		fmt.Fprintf(out, "\n  broken: %+v\n", r.Audit)
-		for _, line := range s.Said {
+		failedSeeds++
+		fmt.Fprintf(out, "\n  broken: %+v\n", result.Audit)
+		for _, line := range soaked.Said {
 			fmt.Fprintln(out, "  "+line)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d seeds, %d broke a rule\n", max(c.Seeds, 1), broken)
-	if broken > 0 {
+	fmt.Fprintf(out, "%d seeds, %d broke a rule\n", max(c.Seeds, 1), failedSeeds)
+	if failedSeeds > 0 {
 		return errFindings
 	}
 	return nil
--- a/cmd/yarrowbarrow/version.go
+++ b/cmd/yarrowbarrow/version.go
@@ -8,11 +8,11 @@
 	if !ok {
 		return "unknown"
 	}
-	out := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" && (out == "" || out == "(devel)") {
-			out = s.Value
+	revision := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" && (revision == "" || revision == "(devel)") {
+			revision = setting.Value
 		}
 	}
-	return out + " " + info.GoVersion
+	return revision + " " + info.GoVersion
 }
