--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs controllers on the simulator's wire, on standard input and output.
+// Command simhost runs controllers for a simulator. It speaks the simulator's protocol on standard input and output.
 package main
 
 import (
--- a/cmd/yarrowbarrow/build_test.go
+++ b/cmd/yarrowbarrow/build_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// deployed gives a text of the deploy file.
+// deploySetting returns the value of the first line in deploy/balancer.toml that sets key.
 func deploySetting(t *testing.T, key string) string {
 	t.Helper()
 	file, err := os.ReadFile("../../deploy/balancer.toml")
@@ -27,16 +27,17 @@
 			return text
 		}
 	}
-	t.Fatal("no ", key)
+	t.Fatal("deploy/balancer.toml does not set ", key)
 	return ""
 }
 
-// TestDeployedProgram: what the platform builds is dynamically linked against the C library and nothing else, as it
-// loads a library of its own beside it, and it runs in the process that it starts.
+// TestDeployedProgram builds the program as the platform does. The program must be dynamically linked against the C library, and
+// against nothing else, as the platform loads a library of its own into the process. The run command must use exec, so that the
+// program runs in the process that the platform started.
 func TestDeployedProgram(t *testing.T) {
 	runCommand := strings.Fields(deploySetting(t, "run"))
 	if len(runCommand) < 2 || runCommand[0] != "exec" {
-		t.Fatal("run starts a process of its own: ", runCommand)
+		t.Fatal("the run command does not begin with exec, so that a shell stays as the parent: ", runCommand)
 	}
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -60,17 +61,17 @@
 		}
 	}
 	if !strings.HasPrefix(interpreter, "ld-linux") {
-		t.Error("no dynamic linker of the C library: ", interpreter)
+		t.Error("interpreter is not the dynamic linker of the C library: ", interpreter)
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil || len(libraries) == 0 {
-		t.Error("linked statically: ", err)
+		t.Error("program is linked statically, or its libraries can't be read: ", err)
 	}
 	for _, library := range libraries {
 		switch name, _, _ := strings.Cut(library, "."); name {
-		case "libc", "libpthread", "libresolv", "libdl", "ld-linux-x86-64": // all of the C library
+		case "libc", "libpthread", "libresolv", "libdl", "ld-linux-x86-64": // parts of the C library
 		default:
-			t.Error("asks for ", library)
+			t.Error("linked against a library other than the C library: ", library)
 		}
 	}
 }
--- a/cmd/yarrowbarrow/check.go
+++ b/cmd/yarrowbarrow/check.go
@@ -16,12 +16,12 @@
 	"yarrowbarrow/config/lang"
 )
 
-// platformFlag names the platform's file, against which an operators' file is checked.
+// platformFlag is the flag for the platform's file. Names and times in an operators' file are checked against its configuration.
 type platformFlag struct {
-	Platform string `name:"platform" type:"existingfile" placeholder:"FILE" help:"The platform's JSON file, to check names and times against."`
+	Platform string `name:"platform" type:"existingfile" placeholder:"FILE" help:"The platform's JSON file, which names and times are checked against."`
 }
 
-// read gives the platform's configuration, or nil where none is named.
+// readPlatform reads the platform's file, and returns nil values without an error if the flag is not set.
 func (p platformFlag) readPlatform() (*config.Config, *lang.Platform, error) {
 	if p.Platform == "" {
 		return nil, nil, nil
@@ -38,10 +38,11 @@
 	return &cfg, &platform, nil
 }
 
+// checkCommand checks operators' files and prints what is wrong with them.
 type checkCommand struct {
 	platformFlag
-	JSON  bool     `name:"json" help:"Write the messages as JSON, for editors."`
-	Files []string `name:"files" arg:"" help:"The files, each with all that it includes."`
+	JSON  bool     `name:"json" help:"Print the messages as JSON, for use by editors."`
+	Files []string `name:"files" arg:"" help:"Operators' files to check, each with its includes."`
 }
 
 func (checkCommand) Help() string {
@@ -69,15 +70,16 @@
 	return err
 }
 
+// fmtCommand formats operators' files. Without -l, -d or -w it prints the formatted text.
 type fmtCommand struct {
-	List  bool     `name:"list" short:"l" help:"List files that are not in their canonical form."`
-	Diff  bool     `name:"diff" short:"d" help:"Show what would change."`
-	Write bool     `name:"write" short:"w" help:"Write the files, each at once or not at all."`
-	Files []string `name:"files" arg:"" optional:"" help:"The files; - or none: standard input."`
+	List  bool     `name:"list" short:"l" help:"List files whose formatting differs from the canonical form."`
+	Diff  bool     `name:"diff" short:"d" help:"Print a diff of the changes."`
+	Write bool     `name:"write" short:"w" help:"Write the result back to the files, each one atomically."`
+	Files []string `name:"files" arg:"" optional:"" help:"Files to format. Without any, or with -, standard input is read."`
 }
 
 func (fmtCommand) Help() string {
-	return `Includes are not followed. With -l and -d the exit code is 1 where a file would change.
+	return `Includes are not followed. With -l or -d, but without -w, the exit code is 1 if any file would change.
 
   yarrowbarrow fmt -l deploy/*.conf deploy/rooms/*.conf
   yarrowbarrow fmt -w deploy/operator.conf`
@@ -127,7 +129,8 @@
 	return nil
 }
 
-// replace writes a file at once or not at all, with the rights that it has. A link stays one.
+// replaceFile atomically replaces the content of a file and keeps its permissions. If path is a symbolic link, the target is replaced
+// and the link stays.
 func replaceFile(path string, content []byte) error {
 	target, err := filepath.EvalSymlinks(path)
 	if err != nil {
@@ -140,7 +143,7 @@
 	return renameio.WriteFile(target, content, info.Mode().Perm())
 }
 
-// lineDiff shows the lines that differ between two texts.
+// unifiedDiff returns a unified diff between the original and the formatted text of a file.
 func unifiedDiff(path, original, formatted string) string {
 	edits := myers.ComputeEdits(span.URIFromPath(path), original, formatted)
 	return fmt.Sprint(gotextdiff.ToUnified(path, path+" (formatted)", original, edits))
--- a/cmd/yarrowbarrow/demo.go
+++ b/cmd/yarrowbarrow/demo.go
@@ -18,7 +18,7 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
-// demoCommand runs a controller under load between fake engines, in one process.
+// demoCommand runs a controller under load between stand-in engines, in one process.
 type demoCommand struct {
 	OperatorsFile string `name:"operators" arg:"" optional:"" default:"deploy/operator.conf" help:"The operators' file to serve with."`
 	Seconds       int    `name:"seconds" default:"60" help:"Duration of the load in seconds, 6 to 600."`
@@ -26,7 +26,7 @@
 }
 
 func (demoCommand) Help() string {
-	return `Starts two fake engines in each of two rooms and a fake discovery service in this process, serves with the operators' file
+	return `Starts two stand-in engines in each of two rooms and a stand-in discovery service in this process, serves with the operators' file
 and sends a mixed load. Early in the run one engine of room east crashes, later both do. Each time they restart cold,
 that is, they begin at a reduced speed.
 
@@ -34,7 +34,7 @@
   yarrowbarrow demo --seconds 20 deploy/operator.conf`
 }
 
-// demoJobKinds is the load of the demo. Each fake engine runs 4 jobs at full speed, so that the two rooms together are at about half
+// demoJobKinds is the load of the demo. Each stand-in engine runs 4 jobs at full speed, so that the two rooms together are at about half
 // of their capacity.
 var demoJobKinds = []load.Kind{
 	{Type: "lookup", PerSecond: 120, Work: 20 * time.Millisecond, Wait: 4 * time.Second, LatencyTarget: time.Second},
@@ -50,7 +50,7 @@
 "may_cancel":true,"probes":true,"retry_after":true,"streams_per_conn":32,"open_cap":20000},
 "safety":{"cold":5000000000,"fall":1000000000,"start_capacity":0.33,"tip_multiple":3}}`
 
-// demoRun is the state of one demo: the fake services, and the output.
+// demoRun is the state of one demo: the stand-in services, and the output.
 type demoRun struct {
 	out         *output
 	discovery   *discovery.Discovery
--- a/cmd/yarrowbarrow/explain.go
+++ b/cmd/yarrowbarrow/explain.go
@@ -12,7 +12,7 @@
 	"yarrowbarrow/decide/route"
 )
 
-// loadFile reads a file that must be free of errors.
+// loadOperatorsFile loads an operators' file. If the file has errors, it prints them and returns errFindings.
 func loadOperatorsFile(path string, platform *lang.Platform, out *output) (*lang.Config, error) {
 	loaded := lang.Load(path, platform)
 	if loaded.Plan == nil {
@@ -22,16 +22,17 @@
 	return loaded, nil
 }
 
+// diffCommand compares the meaning of two versions of an operators' file.
 type diffCommand struct {
-	JSON     bool   `name:"json" help:"Write the changes as JSON."`
-	ExitCode bool   `name:"exit-code" help:"End with exit code 1 where there is a change."`
-	Old      string `name:"old" arg:"" help:"The earlier version."`
-	New      string `name:"new" arg:"" help:"The later version."`
+	JSON     bool   `name:"json" help:"Print the changes as JSON."`
+	ExitCode bool   `name:"exit-code" help:"Exit with code 1 if there is any change."`
+	Old      string `name:"old" arg:"" help:"Earlier version of the operators' file."`
+	New      string `name:"new" arg:"" help:"Later version of the operators' file."`
 }
 
 func (diffCommand) Help() string {
-	return `What is compared is what the files mean, after includes and inheritance. Jobs that would go elsewhere are told
-with an example for each pair of routes; figures that changed a hundredfold are pointed out.
+	return `Compares the meaning of the files, after includes and inheritance. Jobs that would take another route are reported
+with an example for each pair of routes; values that changed by a factor of 100 or more are highlighted.
 
   yarrowbarrow diff --exit-code yesterday/operator.conf deploy/operator.conf`
 }
@@ -58,7 +59,7 @@
 			fmt.Fprintln(out, change)
 		}
 		if !complete {
-			fmt.Fprintln(out, "! there may be more jobs that go elsewhere: the routes are too many or too wide to follow all")
+			fmt.Fprintln(out, "! there may be more jobs that take another route: there are too many routes, or too broad ones, to compare all of them")
 		}
 	}
 	if err == nil && d.ExitCode && len(changes) > 0 {
@@ -67,21 +68,22 @@
 	return err
 }
 
+// explainCommand shows which route and pools a given job would use, and why.
 type explainCommand struct {
 	platformFlag
-	JSON bool     `name:"json" help:"Write the explanation as JSON."`
+	JSON bool     `name:"json" help:"Print the explanation as JSON."`
 	File string   `name:"file" arg:"" help:"The operators' file."`
-	Job  []string `name:"job" arg:"" help:"The job, as terms: type=lookup customer=c1 tables=17 cost=2core-s memory=96MB left=1500ms."`
+	Job  []string `name:"job" arg:"" help:"Job, described by terms such as type=lookup customer=c1 tables=17 cost=2core-s memory=96MB left=1500ms."`
 }
 
 func (explainCommand) Help() string {
-	return `Engines are those that the platform's file knows at the start. A running controller logs the route of each job
-at --log-level debug, and what its pools do at level info.
+	return `Engines are taken from the initial list in the platform's file. A running controller logs the route of each job
+at --log-level debug, and state changes of its pools at level info.
 
   yarrowbarrow explain --platform deploy/example.json deploy/operator.conf type=load cost=3core-s`
 }
 
-// explained is the form for other programs.
+// explanation is the result of the command explain, and its JSON form.
 type explanation struct {
 	Job           string            `json:"job"`
 	Route         string            `json:"route,omitempty"`
@@ -91,15 +93,17 @@
 	SkippedRoutes []skippedRoute    `json:"passed,omitempty"`
 }
 
+// poolExplanation describes a pool of the route. All but Pool and Overflow are set only if the platform's file is given.
 type poolExplanation struct {
 	Pool         string           `json:"pool"`
-	Engines      []route.EngineID `json:"engines,omitempty"` // these four where engines are known
-	OtherEngines int              `json:"others,omitempty"`  // engines that are no members
-	EngineCount  string           `json:"stands,omitempty"`
-	Available    *bool            `json:"fit,omitempty"`
+	Engines      []route.EngineID `json:"engines,omitempty"` // that belong to the pool
+	OtherEngines int              `json:"others,omitempty"`  // number of known engines outside the pool
+	EngineCount  string           `json:"stands,omitempty"`  // number of engines in the pool and the minimum, as a text
+	MeetsMinimum *bool            `json:"fit,omitempty"`
 	Overflow     string           `json:"overflow,omitempty"`
 }
 
+// skippedRoute is a route before the chosen one, with the match term that excludes the job.
 type skippedRoute struct {
 	Route  string `json:"route"`
 	Reason string `json:"why"`
@@ -124,15 +128,15 @@
 	}
 	found := operators.Plan.Explain(&job, engines)
 	result := explanation{Job: lang.Describe(&job)}
-	for _, pool := range found.Passed {
-		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(pool.Route.Name), pool.Why})
+	for _, passed := range found.Passed {
+		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(passed.Route.Name), passed.Why})
 	}
 	if matched := found.Route; matched != nil {
 		result.Route, result.Policy, result.Limits = string(matched.Name), matched.Policy.Name, matched.Policy.Limits()
 		for _, poolView := range found.Pools {
 			pool := poolExplanation{Pool: string(poolView.Pool.Name), Overflow: string(poolView.Pool.Overflow)}
 			if cfg != nil {
-				pool.Engines, pool.OtherEngines, pool.EngineCount, pool.Available = poolView.Engines, poolView.Left, poolView.Stands, &poolView.Fit
+				pool.Engines, pool.OtherEngines, pool.EngineCount, pool.MeetsMinimum = poolView.Engines, poolView.Left, poolView.Stands, &poolView.Fit
 			}
 			result.Pools = append(result.Pools, pool)
 		}
@@ -146,28 +150,29 @@
 	return nil
 }
 
-func (t *explanation) print(out *output) {
-	fmt.Fprintf(out, "job    %s\n", t.Job)
-	for _, p := range t.SkippedRoutes {
+// print writes the explanation as text.
+func (e *explanation) print(out *output) {
+	fmt.Fprintf(out, "job    %s\n", e.Job)
+	for _, p := range e.SkippedRoutes {
 		fmt.Fprintf(out, "passed route %q, as it does not hold that %s\n", p.Route, p.Reason)
 	}
-	if t.Route == "" {
+	if e.Route == "" {
 		fmt.Fprintln(out, "route  none: any engine that its type allows")
 		return
 	}
-	fmt.Fprintf(out, "route  %q\n", t.Route)
-	if len(t.Pools) == 0 {
+	fmt.Fprintf(out, "route  %q\n", e.Route)
+	if len(e.Pools) == 0 {
 		fmt.Fprintln(out, "pool   none: any engine that its type allows")
 	}
-	for index, p := range t.Pools {
+	for index, p := range e.Pools {
 		label := "pool  "
 		if index > 0 {
 			label = "else  "
 		}
 		fmt.Fprintf(out, "%s %s", label, p.Pool)
-		if p.Available != nil {
+		if p.MeetsMinimum != nil {
 			fmt.Fprintf(out, ": %s, of %d that are known", p.EngineCount, len(p.Engines)+p.OtherEngines)
-			if !*p.Available {
+			if !*p.MeetsMinimum {
 				fmt.Fprint(out, "; not fit, so that it is passed over")
 			}
 		}
@@ -179,11 +184,12 @@
 			fmt.Fprintf(out, "       %s\n", engine)
 		}
 	}
-	if t.Policy != "" {
-		fmt.Fprintf(out, "policy %s: %s\n", t.Policy, strings.Join(t.Limits, ", "))
+	if e.Policy != "" {
+		fmt.Fprintf(out, "policy %s: %s\n", e.Policy, strings.Join(e.Limits, ", "))
 	}
 }
 
+// routesCommand prints the routes of an operators' file in the order in which they are tried.
 type routesCommand struct {
 	platformFlag
 	File string `name:"file" arg:"" help:"The operators' file."`
@@ -213,6 +219,7 @@
 	return w.Flush()
 }
 
+// versionCommand prints the version of the program and of the Go toolchain that built it.
 type versionCommand struct{}
 
 func (versionCommand) Run(out *output) error {
@@ -220,11 +227,12 @@
 	return err
 }
 
+// completionCommand prints a bash completion script.
 type completionCommand struct{}
 
 func (completionCommand) Help() string { return `  source <(yarrowbarrow completion)` }
 
-// Run writes a script that completes commands and their flags, and else files.
+// Run prints a script that completes the names of commands and their flags, and from the second word on also file names.
 func (completionCommand) Run(out *output, parser *kong.Kong) error {
 	var cases, names []string
 	flagNames := func(node *kong.Node) (long []string) {
--- a/cmd/yarrowbarrow/fleet.go
+++ b/cmd/yarrowbarrow/fleet.go
@@ -20,7 +20,7 @@
 	"yarrowbarrow/lab/fleet/report"
 )
 
-// fleetCommands are the commands that run load tests of many controller processes against fake engines.
+// fleetCommands are the commands that run load tests of many controller processes against stand-in engines.
 type fleetCommands struct {
 	Play    playCommand    `name:"play" cmd:"" default:"withargs" help:"Play a fleet (also without a word)."`
 	Compare compareCommand `name:"compare" cmd:"" help:"Play two policies or builds in pairs on the same seeds, and tell the difference with its interval."`
@@ -33,7 +33,7 @@
 // fleetFlags set the size of a test fleet, its load and the faults to inject.
 type fleetFlags struct {
 	Controllers    int           `name:"controllers" default:"100" help:"Number of controller processes, 1 to 400."`
-	Engines        int           `name:"engines" default:"20" help:"Number of fake engines, 1 to 500."`
+	Engines        int           `name:"engines" default:"20" help:"Number of stand-in engines, 1 to 500."`
 	CoresPerEngine int           `name:"cores" default:"4" help:"Cores of each engine; its jobs share them."`
 	UnevenEngines  bool          `name:"uneven" help:"Give every third engine twice the cores."`
 	PerSecond      float64       `name:"per-second" default:"8" help:"Mean jobs per second and controller, of 76 ms core time each; some controllers get several times as many."`
@@ -125,7 +125,7 @@
 }
 
 func (playCommand) Help() string {
-	return `Starts each controller as a separate process, with fake engines and discovery services on loopback addresses, sends uneven
+	return `Starts each controller as a separate process, with stand-in engines and discovery services on loopback addresses, sends uneven
 load and reports how evenly the engines were used, as observed by engines and clients. A fault is written as
 stop:0.3@5s/3s: its kind, the share of targets that it affects, its start and its duration.
   yarrowbarrow fleet
@@ -380,11 +380,11 @@
 			return err
 		}
 		for _, spec := range c.Policies {
-			w, err := parseContender(spec)
+			contender, err := parseContender(spec)
 			if err != nil {
 				return err
 			}
-			result, err := w.run(ctx, dayOptions, out.errOut)
+			result, err := contender.run(ctx, dayOptions, out.errOut)
 			if err != nil {
 				return err
 			}
--- a/cmd/yarrowbarrow/hangup.go
+++ b/cmd/yarrowbarrow/hangup.go
@@ -14,12 +14,14 @@
 	"syscall"
 )
 
-// HUP has a controller read its configuration, USR1 has it print its counters. One that comes while the process is being started,
-// before the runtime can take signals, would end it: both are ignored from before the runtime's begin until serve waits for them,
-// and the configuration is read after that. Other commands end on HUP as usual.
+// hangups receives SIGHUP in commands other than serve, which exit on it as usual.
+//
+// To a controller, SIGHUP means to reload its configuration and SIGUSR1 to log its counters. Either would kill the process if it came
+// during startup, before the Go runtime can handle signals. The C constructor above therefore ignores both before the runtime starts,
+// until serve handles them. The configuration is read only after that, so that a reload requested during startup is not missed.
 var hangups = make(chan os.Signal, 1)
 
-// exitOnHangup is for commands that a terminal started.
+// exitOnHangup makes the process exit on SIGHUP, for commands that were started from a terminal.
 func exitOnHangup() {
 	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
@@ -28,5 +30,5 @@
 	}()
 }
 
-// cancelExitOnHangup takes that back, once something else waits for the signal.
+// cancelExitOnHangup undoes exitOnHangup. It is called once another channel receives SIGHUP.
 func cancelExitOnHangup() { signal.Stop(hangups) }
--- a/cmd/yarrowbarrow/main.go
+++ b/cmd/yarrowbarrow/main.go
@@ -1,5 +1,5 @@
 // Command yarrowbarrow runs one controller. It also checks, formats, compares and explains operators' files, and runs load tests
-// against fake engines.
+// against stand-in engines.
 package main
 
 import (
--- a/cmd/yarrowbarrow/main_test.go
+++ b/cmd/yarrowbarrow/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the kept output anew, to be read before it is kept")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata; review the changes before committing them")
 
 const baseConf = `[route "quick"]
 match = type = lookup
@@ -38,7 +38,7 @@
 fallback-wait = 12ms
 `
 
-// In this one the unit of a wait was mistaken, a route takes more, and a pool is gone.
+// changedConf differs from baseConf: a wait has the wrong unit, a route matches more jobs, and a pool is missing.
 const changedConf = `[route "quick"]
 match = type = lookup or type = load and cost < 500core-ms
 pool  = east
@@ -56,7 +56,7 @@
 return-wait   = 5s
 `
 
-// TestCommands: what the commands say, and their exit codes, kept as one readable file each.
+// TestCommands compares the output of each command with a golden file in testdata, and checks its exit code.
 func TestCommands(t *testing.T) {
 	example, err := filepath.Abs("../../deploy/example.json")
 	if err != nil {
@@ -108,7 +108,7 @@
 				t.Errorf("exit code %d, wanted %d", code, test.code)
 			}
 			if strings.HasSuffix(test.name, "json") && !json.Valid(out.Bytes()) {
-				t.Error("no JSON")
+				t.Error("output is not valid JSON")
 			}
 			got := "$ yarrowbarrow " + test.args + "\n" + out.String()
 			if errOut.Len() > 0 {
@@ -131,7 +131,8 @@
 	}
 }
 
-// TestFmtWrites: a file is replaced at once, keeps its rights, and a link stays a link.
+// TestFmtWrites checks that fmt -w on a symbolic link rewrites the target, keeps its permissions and the link, and leaves no temporary
+// files.
 func TestFmtWrites(t *testing.T) {
 	t.Chdir(t.TempDir())
 	if err := os.WriteFile("real.conf", []byte("[pool a]\nid=*\n"), 0o640); err != nil {
@@ -151,7 +152,7 @@
 		t.Errorf("%q %v %v %v", raw, err, link.Mode(), target.Mode())
 	}
 	if remaining, _ := filepath.Glob("*"); len(remaining) != 2 {
-		t.Error("left behind: ", remaining)
+		t.Error("unexpected files in the directory: ", remaining)
 	}
 	if code := run([]string{"fmt", "-l", "link.conf"}, &out, &errOut); code != exitOK || out.Len() > 0 {
 		t.Error(code, out.String())
@@ -169,7 +170,8 @@
 	}
 }
 
-// TestDemo: a short one, in which an engine and a room are lost, answers each job once and runs none twice.
+// TestDemo runs a short demo, in which an engine and then a whole room crash, and checks that at
+// least 80% of the lookups are answered, and that no job is answered twice or run twice.
 func TestDemo(t *testing.T) {
 	var out, errOut bytes.Buffer
 	if code := run([]string{"demo", "--seconds", "6", "../../deploy/operator.conf"}, &lockedWriter{Writer: &out}, &errOut); code != exitOK {
@@ -178,7 +180,7 @@
 	text := out.String()
 	for _, want := range []string{"** room east crashes", "pool east is down", "\n0 jobs answered twice, 0 run twice on one engine\n"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q", want)
+			t.Errorf("output does not contain %q", want)
 		}
 	}
 	var jobs, done int
@@ -196,7 +198,7 @@
 	}
 }
 
-// locked lets the parts of the demo write in turn.
+// lockedWriter serializes writes, as several goroutines of the demo print at the same time.
 type lockedWriter struct {
 	mu sync.Mutex
 	io.Writer
--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -143,8 +143,8 @@
 	if c.JSON {
 		return writeJSON(out, view)
 	}
-	fmt.Fprintf(out, "%s is %s for %v; %d members\n", view.Name, view.Contact, view.ContactAge.Round(time.Second), len(view.Members))
-	fmt.Fprintf(out, "%d jobs open or more, by %d instances, words up to %v old; %d not known\n", view.OpenJobs.AtLeast, view.OpenJobs.Instances,
+	fmt.Fprintf(out, "%s has been %s for %v; %d members\n", view.Name, view.Contact, view.ContactAge.Round(time.Second), len(view.Members))
+	fmt.Fprintf(out, "at least %d open jobs at %d instances, data up to %v old; %d instances unknown\n", view.OpenJobs.AtLeast, view.OpenJobs.Instances,
 		view.OpenJobs.MaxAge.Round(10*time.Millisecond), view.OpenJobs.Unknown)
 	formatAge := func(age time.Duration) string {
 		if age < 0 {
@@ -161,7 +161,7 @@
 		return err
 	}
 	for _, link := range view.BrokenLinks {
-		fmt.Fprintf(out, "%s does not hear %s directly\n", link[0], link[1])
+		fmt.Fprintf(out, "%s receives no messages directly from %s\n", link[0], link[1])
 	}
 	return nil
 }
--- a/cmd/yarrowbarrow/soak.go
+++ b/cmd/yarrowbarrow/soak.go
@@ -17,7 +17,7 @@
 	FirstSeed int64         `name:"from" default:"1" help:"First seed."`
 	Parallel  int           `name:"beside" default:"2" help:"Number of runs at the same time. If the machine is overloaded, answers are reported as late."`
 	Duration  time.Duration `name:"length" default:"6s" help:"Duration of the load of each run, at least 3s."`
-	Hostile   bool          `name:"hostile" default:"true" negatable:"" help:"In addition to the other faults, have peers that flood, crowds and signals."`
+	Hostile   bool          `name:"hostile" default:"true" negatable:"" help:"In addition to the other faults, inject flooding peers, crowds of idle clients and signals."`
 	Program   string        `name:"program" type:"existingfile" placeholder:"FILE" help:"Another build of the program to run instead of this one."`
 }
 
--- a/cmd/yarrowbarrow/version.go
+++ b/cmd/yarrowbarrow/version.go
@@ -2,7 +2,7 @@
 
 import "runtime/debug"
 
-// version is the module's, or the commit that it was built from.
+// version returns the module version, or the commit for a development build, followed by the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
