--- a/cmd/yarrowbarrow/fleet.go
+++ b/cmd/yarrowbarrow/fleet.go
@@ -255,13 +255,13 @@
 			return fmt.Sprintf("%d, %d", first, second)
 		}})
 	}
-	addPair("rule 1: lost, answered twice", func(first fleet.Audit) (int, int) { return first.Lost, first.Doubled })
-	addPair("rule 2 repeated, 3 after a drain", func(first fleet.Audit) (int, int) { return first.Repeated, first.Drained })
+	addPair("rule 1: lost, answered twice", func(audit fleet.Audit) (int, int) { return audit.Lost, audit.Doubled })
+	addPair("rule 2 repeated, 3 after a drain", func(audit fleet.Audit) (int, int) { return audit.Repeated, audit.Drained })
 	rows = append(rows, fleetRow{"rule 4 felled, most of what fells", func(r fleet.Result) string {
 		return fmt.Sprintf("%d, %.2f", r.Audit.Felled, r.Audit.Cold)
 	}})
-	addPair("rule 6 misplaced, 7 over budget", func(first fleet.Audit) (int, int) { return first.Strayed, first.Excess })
-	addPair("at two engines at once, crashed", func(first fleet.Audit) (int, int) { return first.Together, first.Crashes })
+	addPair("rule 6 misplaced, 7 over budget", func(audit fleet.Audit) (int, int) { return audit.Strayed, audit.Excess })
+	addPair("at two engines at once, crashed", func(audit fleet.Audit) (int, int) { return audit.Together, audit.Crashes })
 	return rows
 }
 
--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -87,14 +87,14 @@
 
 // memberView is what an instance knows about one member.
 type memberView struct {
-	Name         string        `json:"name"`
-	Address      string        `json:"address"`
-	StartTime    int64         `json:"life"` // of its process, in ns of Unix time
-	Status       string        `json:"status"`
-	Age          time.Duration `json:"age_ns"`      // upper bound for the age of its newest message, direct or relayed
-	SinceHearsUs time.Duration `json:"hears_us_ns"` // since it last proved that it receives messages of this instance
-	SinceHeard   time.Duration `json:"heard_ns"`    // since a message came directly from it
-	AccusedBy    string        `json:"accused_by,omitempty"`
+	Name          string        `json:"name"`
+	Address       string        `json:"address"`
+	StartTime     int64         `json:"life"` // of its process, in ns of Unix time
+	Status        string        `json:"status"`
+	Age           time.Duration `json:"age_ns"`      // upper bound for the age of its newest message, direct or relayed
+	SinceAck      time.Duration `json:"hears_us_ns"` // since it last proved that it receives messages of this instance
+	SinceReceived time.Duration `json:"heard_ns"`    // since a message came directly from it
+	AccusedBy     string        `json:"accused_by,omitempty"`
 }
 
 // currentView takes a snapshot of the membership and of the tally.
@@ -155,7 +155,7 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tstatus\tage\thears\theard\taddress\taccused by")
 	for _, m := range view.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Status, formatAge(m.Age), formatAge(m.SinceHearsUs), formatAge(m.SinceHeard), m.Address, m.AccusedBy)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Status, formatAge(m.Age), formatAge(m.SinceAck), formatAge(m.SinceReceived), m.Address, m.AccusedBy)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/yarrowbarrow/serve.go
+++ b/cmd/yarrowbarrow/serve.go
@@ -11,7 +11,7 @@
 	"yarrowbarrow/controller"
 )
 
-// serveCommand runs one controller until it is told to end.
+// serveCommand runs one controller until SIGTERM or SIGINT.
 type serveCommand struct {
 	beforeRun     func(*controller.Controller) // adjusts the controller before Run; nil for none
 	OperatorsFile string                       `name:"operators" env:"BALANCER_OPERATORS" type:"path" placeholder:"FILE" help:"The operators' file. Without one, a job may be sent to any engine that its type allows."`
@@ -33,8 +33,8 @@
 	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE) // a write to a log whose reader has exited would raise it; sockets raise none
 	slog.SetDefault(log)
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	cancelExitOnHangup()
 	readConfig := func() (config.Config, error) { return config.FromEnvironment(s.OperatorsFile) }
 	cfg, err := readConfig()
@@ -59,15 +59,15 @@
 		<-terminate
 		cancel()
 	}()
-	logCounters := make(chan os.Signal, 1)
-	signal.Notify(logCounters, syscall.SIGUSR1)
+	counterSignals := make(chan os.Signal, 1)
+	signal.Notify(counterSignals, syscall.SIGUSR1)
 	go func() {
-		for range logCounters {
+		for range counterSignals {
 			ctl.LogCounters()
 		}
 	}()
 	go func() {
-		for range reload {
+		for range reloadSignals {
 			_ = ctl.Reload(readConfig) // Reload logs and counts its own errors
 			if node != nil {
 				if err := node.ReadKeys(); err != nil {
