--- a/cmd/yarrowbarrow/build_test.go
+++ b/cmd/yarrowbarrow/build_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// deployed gives a text of the deploy file.
-func deployed(t *testing.T, key string) string {
+// deploySetting returns the value of the first line in deploy/balancer.toml that sets key.
+func deploySetting(t *testing.T, key string) string {
 	t.Helper()
 	file, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -27,50 +27,51 @@
 			return text
 		}
 	}
-	t.Fatal("no ", key)
+	t.Fatal("deploy/balancer.toml does not set ", key)
 	return ""
 }
 
-// TestDeployedProgram: what the platform builds is dynamically linked against the C library and nothing else, as it
-// loads a library of its own beside it, and it runs in the process that it starts.
+// TestDeployedProgram builds the program as the platform does. The program must be dynamically linked against the C library, and
+// against nothing else, as the platform loads a library of its own into the process. The run command must use exec, so that the
+// program runs in the process that the platform started.
 func TestDeployedProgram(t *testing.T) {
-	words := strings.Fields(deployed(t, "run"))
-	if len(words) < 2 || words[0] != "exec" {
-		t.Fatal("run starts a process of its own: ", words)
+	runCommand := strings.Fields(deploySetting(t, "run"))
+	if len(runCommand) < 2 || runCommand[0] != "exec" {
+		t.Fatal("the run command does not begin with exec, so that a shell stays as the parent: ", runCommand)
 	}
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	build := exec.Command("sh", "-c", deployed(t, "build"))
+	build := exec.Command("sh", "-c", deploySetting(t, "build"))
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	program, err := elf.Open(filepath.Join(root, words[1]))
+	program, err := elf.Open(filepath.Join(root, runCommand[1]))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer program.Close()
-	linker := ""
-	for _, part := range program.Progs {
-		if part.Type == elf.PT_INTERP {
-			text, _ := io.ReadAll(part.Open())
-			linker = filepath.Base(strings.TrimRight(string(text), "\x00"))
+	interpreter := ""
+	for _, segment := range program.Progs {
+		if segment.Type == elf.PT_INTERP {
+			path, _ := io.ReadAll(segment.Open())
+			interpreter = filepath.Base(strings.TrimRight(string(path), "\x00"))
 		}
 	}
-	if !strings.HasPrefix(linker, "ld-linux") {
-		t.Error("no dynamic linker of the C library: ", linker)
+	if !strings.HasPrefix(interpreter, "ld-linux") {
+		t.Error("interpreter is not the dynamic linker of the C library: ", interpreter)
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil || len(libraries) == 0 {
-		t.Error("linked statically: ", err)
+		t.Error("program is linked statically, or its libraries can't be read: ", err)
 	}
 	for _, library := range libraries {
 		switch name, _, _ := strings.Cut(library, "."); name {
-		case "libc", "libpthread", "libresolv", "libdl", "ld-linux-x86-64": // all of the C library
+		case "libc", "libpthread", "libresolv", "libdl", "ld-linux-x86-64": // parts of the C library
 		default:
-			t.Error("asks for ", library)
+			t.Error("linked against a library other than the C library: ", library)
 		}
 	}
 }
--- a/cmd/yarrowbarrow/check.go
+++ b/cmd/yarrowbarrow/check.go
@@ -16,13 +16,13 @@
 	"yarrowbarrow/config/lang"
 )
 
-// platformFlag names the platform's file, against which an operators' file is checked.
+// platformFlag is the flag for the platform's file. Names and times in an operators' file are checked against its configuration.
 type platformFlag struct {
-	Platform string `name:"platform" type:"existingfile" placeholder:"FILE" help:"The platform's JSON file, to check names and times against."`
+	Platform string `name:"platform" type:"existingfile" placeholder:"FILE" help:"The platform's JSON file, which names and times are checked against."`
 }
 
-// read gives the platform's configuration, or nil where none is named.
-func (p platformFlag) read() (*config.Config, *lang.Platform, error) {
+// readPlatform reads the platform's file, and returns nil values without an error if the flag is not set.
+func (p platformFlag) readPlatform() (*config.Config, *lang.Platform, error) {
 	if p.Platform == "" {
 		return nil, nil, nil
 	}
@@ -38,10 +38,11 @@
 	return &cfg, &platform, nil
 }
 
+// checkCommand checks operators' files and prints what is wrong with them.
 type checkCommand struct {
 	platformFlag
-	JSON  bool     `name:"json" help:"Write the messages as JSON, for editors."`
-	Files []string `name:"files" arg:"" help:"The files, each with all that it includes."`
+	JSON  bool     `name:"json" help:"Print the messages as JSON, for use by editors."`
+	Files []string `name:"files" arg:"" help:"Operators' files to check, each with its includes."`
 }
 
 func (checkCommand) Help() string {
@@ -50,34 +51,35 @@
 }
 
 func (c *checkCommand) Run(out *output) error {
-	_, platform, err := c.read()
+	_, platform, err := c.readPlatform()
 	if err != nil {
 		return err
 	}
-	var all lang.Messages
+	var messages lang.Messages
 	for _, path := range c.Files {
-		all = append(all, lang.Load(path, platform).Messages...)
+		messages = append(messages, lang.Load(path, platform).Messages...)
 	}
 	if c.JSON {
-		err = all.JSON(out)
+		err = messages.JSON(out)
 	} else {
-		err = all.Print(out)
+		err = messages.Print(out)
 	}
-	if err == nil && all.Errors() > 0 {
+	if err == nil && messages.Errors() > 0 {
 		err = errFindings
 	}
 	return err
 }
 
+// fmtCommand formats operators' files. Without -l, -d or -w it prints the formatted text.
 type fmtCommand struct {
-	List  bool     `name:"list" short:"l" help:"List files that are not in their canonical form."`
-	Diff  bool     `name:"diff" short:"d" help:"Show what would change."`
-	Write bool     `name:"write" short:"w" help:"Write the files, each at once or not at all."`
-	Files []string `name:"files" arg:"" optional:"" help:"The files; - or none: standard input."`
+	List  bool     `name:"list" short:"l" help:"List files whose formatting differs from the canonical form."`
+	Diff  bool     `name:"diff" short:"d" help:"Print a diff of the changes."`
+	Write bool     `name:"write" short:"w" help:"Write the result back to the files, each one atomically."`
+	Files []string `name:"files" arg:"" optional:"" help:"Files to format. Without any, or with -, standard input is read."`
 }
 
 func (fmtCommand) Help() string {
-	return `Includes are not followed. With -l and -d the exit code is 1 where a file would change.
+	return `Includes are not followed. With -l or -d, but without -w, the exit code is 1 if any file would change.
 
   yarrowbarrow fmt -l deploy/*.conf deploy/rooms/*.conf
   yarrowbarrow fmt -w deploy/operator.conf`
@@ -89,37 +91,37 @@
 		if err != nil {
 			return err
 		}
-		now, err := lang.Format("standard input", raw)
+		formatted, err := lang.Format("standard input", raw)
 		if err != nil {
 			return err
 		}
-		_, err = out.Write(now)
+		_, err = out.Write(formatted)
 		return err
 	}
 	changed := false
 	for _, path := range f.Files {
-		was, now, err := lang.FormatFile(path)
+		original, formatted, err := lang.FormatFile(path)
 		if err != nil {
 			return err
 		}
-		same := bytes.Equal(was, now)
-		if f.List && !same {
+		unchanged := bytes.Equal(original, formatted)
+		if f.List && !unchanged {
 			fmt.Fprintln(out, path)
 		}
-		if f.Diff && !same {
-			fmt.Fprint(out, lineDiff(path, string(was), string(now)))
+		if f.Diff && !unchanged {
+			fmt.Fprint(out, unifiedDiff(path, string(original), string(formatted)))
 		}
-		if f.Write && !same {
-			if err := replace(path, now); err != nil {
+		if f.Write && !unchanged {
+			if err := replaceFile(path, formatted); err != nil {
 				return err
 			}
 		}
 		if !f.List && !f.Diff && !f.Write {
-			if _, err := out.Write(now); err != nil {
+			if _, err := out.Write(formatted); err != nil {
 				return err
 			}
 		}
-		changed = changed || !same
+		changed = changed || !unchanged
 	}
 	if changed && (f.List || f.Diff) && !f.Write {
 		return errFindings
@@ -127,21 +129,22 @@
 	return nil
 }
 
-// replace writes a file at once or not at all, with the rights that it has. A link stays one.
-func replace(path string, now []byte) error {
-	real, err := filepath.EvalSymlinks(path)
+// replaceFile atomically replaces the content of a file and keeps its permissions. If path is a symbolic link, the target is replaced
+// and the link stays.
+func replaceFile(path string, content []byte) error {
+	target, err := filepath.EvalSymlinks(path)
 	if err != nil {
 		return err
 	}
-	info, err := os.Stat(real)
+	info, err := os.Stat(target)
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(real, now, info.Mode().Perm())
+	return renameio.WriteFile(target, content, info.Mode().Perm())
 }
 
-// lineDiff shows the lines that differ between two texts.
-func lineDiff(path, was, now string) string {
-	edits := myers.ComputeEdits(span.URIFromPath(path), was, now)
-	return fmt.Sprint(gotextdiff.ToUnified(path, path+" (formatted)", was, edits))
+// unifiedDiff returns a unified diff between the original and the formatted text of a file.
+func unifiedDiff(path, original, formatted string) string {
+	edits := myers.ComputeEdits(span.URIFromPath(path), original, formatted)
+	return fmt.Sprint(gotextdiff.ToUnified(path, path+" (formatted)", original, edits))
 }
--- a/cmd/yarrowbarrow/explain.go
+++ b/cmd/yarrowbarrow/explain.go
@@ -12,53 +12,54 @@
 	"yarrowbarrow/decide/route"
 )
 
-// loadFile reads a file that must be free of errors.
-func loadFile(path string, platform *lang.Platform, out *output) (*lang.Config, error) {
-	c := lang.Load(path, platform)
-	if c.Plan == nil {
-		_ = c.Messages.Print(out.log)
+// loadOperatorsFile loads an operators' file. If the file has errors, it prints them and returns errFindings.
+func loadOperatorsFile(path string, platform *lang.Platform, out *output) (*lang.Config, error) {
+	loaded := lang.Load(path, platform)
+	if loaded.Plan == nil {
+		_ = loaded.Messages.Print(out.errOut)
 		return nil, errFindings
 	}
-	return c, nil
+	return loaded, nil
 }
 
+// diffCommand compares the meaning of two versions of an operators' file.
 type diffCommand struct {
-	JSON     bool   `name:"json" help:"Write the changes as JSON."`
-	ExitCode bool   `name:"exit-code" help:"End with exit code 1 where there is a change."`
-	Old      string `name:"old" arg:"" help:"The earlier version."`
-	New      string `name:"new" arg:"" help:"The later version."`
+	JSON     bool   `name:"json" help:"Print the changes as JSON."`
+	ExitCode bool   `name:"exit-code" help:"Exit with code 1 if there is any change."`
+	Old      string `name:"old" arg:"" help:"Earlier version of the operators' file."`
+	New      string `name:"new" arg:"" help:"Later version of the operators' file."`
 }
 
 func (diffCommand) Help() string {
-	return `What is compared is what the files mean, after includes and inheritance. Jobs that would go elsewhere are told
-with an example for each pair of routes; figures that changed a hundredfold are pointed out.
+	return `Compares the meaning of the files, after includes and inheritance. Jobs that would take another route are reported
+with an example for each pair of routes; values that changed by a factor of 100 or more are highlighted.
 
   yarrowbarrow diff --exit-code yesterday/operator.conf deploy/operator.conf`
 }
 
 func (d *diffCommand) Run(out *output) error {
-	was, err := loadFile(d.Old, nil, out)
+	oldConfig, err := loadOperatorsFile(d.Old, nil, out)
 	if err != nil {
 		return err
 	}
-	now, err := loadFile(d.New, nil, out)
+	newConfig, err := loadOperatorsFile(d.New, nil, out)
 	if err != nil {
 		return err
 	}
-	changes, complete := lang.Diff(was, now)
+	changes, complete := lang.Diff(oldConfig, newConfig)
 	if d.JSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
 		if changes == nil {
 			changes = []lang.Change{}
 		}
-		err = e.Encode(map[string]any{"changes": changes, "complete": complete})
+		err = encoder.Encode(map[string]any{"changes": changes, "complete": complete})
 	} else {
-		for _, c := range changes {
-			fmt.Fprintln(out, c)
+		for _, change := range changes {
+			fmt.Fprintln(out, change)
 		}
 		if !complete {
-			fmt.Fprintln(out, "! there may be more jobs that go elsewhere: the routes are too many or too wide to follow all")
+			fmt.Fprintln(out, "! there may be more jobs that take another route: there are too many routes, or too broad ones, to compare all of them")
 		}
 	}
 	if err == nil && d.ExitCode && len(changes) > 0 {
@@ -67,50 +68,53 @@
 	return err
 }
 
+// explainCommand shows which route and pools a given job would use, and why.
 type explainCommand struct {
 	platformFlag
-	JSON bool     `name:"json" help:"Write the explanation as JSON."`
+	JSON bool     `name:"json" help:"Print the explanation as JSON."`
 	File string   `name:"file" arg:"" help:"The operators' file."`
-	Job  []string `name:"job" arg:"" help:"The job, as terms: type=lookup customer=c1 tables=17 cost=2core-s memory=96MB left=1500ms."`
+	Job  []string `name:"job" arg:"" help:"Job, described by terms such as type=lookup customer=c1 tables=17 cost=2core-s memory=96MB left=1500ms."`
 }
 
 func (explainCommand) Help() string {
-	return `Engines are those that the platform's file knows at the start. A running controller logs the route of each job
-at --log-level debug, and what its pools do at level info.
+	return `Engines are taken from the initial list in the platform's file. A running controller logs the route of each job
+at --log-level debug, and state changes of its pools at level info.
 
   yarrowbarrow explain --platform deploy/example.json deploy/operator.conf type=load cost=3core-s`
 }
 
-// explained is the form for other programs.
-type explained struct {
-	Job    string          `json:"job"`
-	Route  string          `json:"route,omitempty"`
-	Policy string          `json:"policy,omitempty"`
-	Limits []string        `json:"limits,omitempty"`
-	Pools  []explainedPool `json:"pools,omitempty"`
-	Passed []passedRoute   `json:"passed,omitempty"`
+// explanation is the result of the command explain, and its JSON form.
+type explanation struct {
+	Job           string            `json:"job"`
+	Route         string            `json:"route,omitempty"`
+	Policy        string            `json:"policy,omitempty"`
+	Limits        []string          `json:"limits,omitempty"`
+	Pools         []poolExplanation `json:"pools,omitempty"`
+	SkippedRoutes []skippedRoute    `json:"passed,omitempty"`
 }
 
-type explainedPool struct {
-	Pool     string           `json:"pool"`
-	Engines  []route.EngineID `json:"engines,omitempty"` // these four where engines are known
-	Others   int              `json:"others,omitempty"`  // engines that are no members
-	Stands   string           `json:"stands,omitempty"`
-	Fit      *bool            `json:"fit,omitempty"`
-	Overflow string           `json:"overflow,omitempty"`
+// poolExplanation describes a pool of the route. All but Pool and Overflow are set only if the platform's file is given.
+type poolExplanation struct {
+	Pool         string           `json:"pool"`
+	Engines      []route.EngineID `json:"engines,omitempty"` // that belong to the pool
+	OtherEngines int              `json:"others,omitempty"`  // number of known engines outside the pool
+	EngineCount  string           `json:"stands,omitempty"`  // number of engines in the pool and the minimum, as a text
+	MeetsMinimum *bool            `json:"fit,omitempty"`
+	Overflow     string           `json:"overflow,omitempty"`
 }
 
-type passedRoute struct {
-	Route string `json:"route"`
-	Why   string `json:"why"`
+// skippedRoute is a route before the chosen one, with the match term that excludes the job.
+type skippedRoute struct {
+	Route  string `json:"route"`
+	Reason string `json:"why"`
 }
 
 func (e *explainCommand) Run(out *output) error {
-	cfg, platform, err := e.read()
+	cfg, platform, err := e.readPlatform()
 	if err != nil {
 		return err
 	}
-	c, err := loadFile(e.File, platform, out)
+	operators, err := loadOperatorsFile(e.File, platform, out)
 	if err != nil {
 		return err
 	}
@@ -122,52 +126,53 @@
 	if cfg != nil {
 		engines = cfg.Engines()
 	}
-	found := c.Plan.Explain(&job, engines)
-	told := explained{Job: lang.Describe(&job)}
-	for _, p := range found.Passed {
-		told.Passed = append(told.Passed, passedRoute{string(p.Route.Name), p.Why})
+	found := operators.Plan.Explain(&job, engines)
+	result := explanation{Job: lang.Describe(&job)}
+	for _, passed := range found.Passed {
+		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(passed.Route.Name), passed.Why})
 	}
-	if r := found.Route; r != nil {
-		told.Route, told.Policy, told.Limits = string(r.Name), r.Policy.Name, r.Policy.Limits()
-		for _, v := range found.Pools {
-			p := explainedPool{Pool: string(v.Pool.Name), Overflow: string(v.Pool.Overflow)}
+	if matched := found.Route; matched != nil {
+		result.Route, result.Policy, result.Limits = string(matched.Name), matched.Policy.Name, matched.Policy.Limits()
+		for _, poolView := range found.Pools {
+			pool := poolExplanation{Pool: string(poolView.Pool.Name), Overflow: string(poolView.Pool.Overflow)}
 			if cfg != nil {
-				p.Engines, p.Others, p.Stands, p.Fit = v.Engines, v.Left, v.Stands, &v.Fit
+				pool.Engines, pool.OtherEngines, pool.EngineCount, pool.MeetsMinimum = poolView.Engines, poolView.Left, poolView.Stands, &poolView.Fit
 			}
-			told.Pools = append(told.Pools, p)
+			result.Pools = append(result.Pools, pool)
 		}
 	}
 	if e.JSON {
-		enc := json.NewEncoder(out)
-		enc.SetIndent("", "  ")
-		return enc.Encode(told)
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(result)
 	}
-	told.print(out)
+	result.print(out)
 	return nil
 }
 
-func (t *explained) print(out *output) {
-	fmt.Fprintf(out, "job    %s\n", t.Job)
-	for _, p := range t.Passed {
-		fmt.Fprintf(out, "passed route %q, as it does not hold that %s\n", p.Route, p.Why)
+// print writes the explanation as text.
+func (e *explanation) print(out *output) {
+	fmt.Fprintf(out, "job    %s\n", e.Job)
+	for _, p := range e.SkippedRoutes {
+		fmt.Fprintf(out, "passed route %q, as it does not hold that %s\n", p.Route, p.Reason)
 	}
-	if t.Route == "" {
+	if e.Route == "" {
 		fmt.Fprintln(out, "route  none: any engine that its type allows")
 		return
 	}
-	fmt.Fprintf(out, "route  %q\n", t.Route)
-	if len(t.Pools) == 0 {
+	fmt.Fprintf(out, "route  %q\n", e.Route)
+	if len(e.Pools) == 0 {
 		fmt.Fprintln(out, "pool   none: any engine that its type allows")
 	}
-	for n, p := range t.Pools {
-		word := "pool  "
-		if n > 0 {
-			word = "else  "
+	for index, p := range e.Pools {
+		label := "pool  "
+		if index > 0 {
+			label = "else  "
 		}
-		fmt.Fprintf(out, "%s %s", word, p.Pool)
-		if p.Fit != nil {
-			fmt.Fprintf(out, ": %s, of %d that are known", p.Stands, len(p.Engines)+p.Others)
-			if !*p.Fit {
+		fmt.Fprintf(out, "%s %s", label, p.Pool)
+		if p.MeetsMinimum != nil {
+			fmt.Fprintf(out, ": %s, of %d that are known", p.EngineCount, len(p.Engines)+p.OtherEngines)
+			if !*p.MeetsMinimum {
 				fmt.Fprint(out, "; not fit, so that it is passed over")
 			}
 		}
@@ -175,32 +180,33 @@
 			fmt.Fprintf(out, "; what waits there for long may also go to %s", p.Overflow)
 		}
 		fmt.Fprintln(out)
-		for _, e := range p.Engines {
-			fmt.Fprintf(out, "       %s\n", e)
+		for _, engine := range p.Engines {
+			fmt.Fprintf(out, "       %s\n", engine)
 		}
 	}
-	if t.Policy != "" {
-		fmt.Fprintf(out, "policy %s: %s\n", t.Policy, strings.Join(t.Limits, ", "))
+	if e.Policy != "" {
+		fmt.Fprintf(out, "policy %s: %s\n", e.Policy, strings.Join(e.Limits, ", "))
 	}
 }
 
+// routesCommand prints the routes of an operators' file in the order in which they are tried.
 type routesCommand struct {
 	platformFlag
 	File string `name:"file" arg:"" help:"The operators' file."`
 }
 
 func (r *routesCommand) Run(out *output) error {
-	_, platform, err := r.read()
+	_, platform, err := r.readPlatform()
 	if err != nil {
 		return err
 	}
-	c, err := loadFile(r.File, platform, out)
+	operators, err := loadOperatorsFile(r.File, platform, out)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "#\troute\tmatch\tpools\tpolicy")
-	for n, r := range c.Plan.Routes {
+	for n, r := range operators.Plan.Routes {
 		var pools []string
 		for _, p := range r.Pools {
 			pools = append(pools, string(p.Name))
@@ -213,6 +219,7 @@
 	return w.Flush()
 }
 
+// versionCommand prints the version of the program and of the Go toolchain that built it.
 type versionCommand struct{}
 
 func (versionCommand) Run(out *output) error {
@@ -220,22 +227,23 @@
 	return err
 }
 
+// completionCommand prints a bash completion script.
 type completionCommand struct{}
 
 func (completionCommand) Help() string { return `  source <(yarrowbarrow completion)` }
 
-// Run writes a script that completes commands and their flags, and else files.
+// Run prints a script that completes the names of commands and their flags, and from the second word on also file names.
 func (completionCommand) Run(out *output, parser *kong.Kong) error {
 	var cases, names []string
-	flags := func(n *kong.Node) (all []string) {
-		for _, f := range n.Flags {
-			all = append(all, "--"+f.Name)
+	flagNames := func(node *kong.Node) (long []string) {
+		for _, flag := range node.Flags {
+			long = append(long, "--"+flag.Name)
 		}
-		return all
+		return long
 	}
-	for _, n := range parser.Model.Children {
-		names = append(names, n.Name)
-		cases = append(cases, fmt.Sprintf("    %s) words=\"%s\" ;;", n.Name, strings.Join(append(flags(n), flags(parser.Model.Node)...), " ")))
+	for _, node := range parser.Model.Children {
+		names = append(names, node.Name)
+		cases = append(cases, fmt.Sprintf("    %s) words=\"%s\" ;;", node.Name, strings.Join(append(flagNames(node), flagNames(parser.Model.Node)...), " ")))
 	}
 	_, err := fmt.Fprintf(out, `_yarrowbarrow() {
   local word=${COMP_WORDS[COMP_CWORD]} words="%s"
@@ -246,6 +254,6 @@
   [ $COMP_CWORD -gt 1 ] && [ "${word#-}" = "$word" ] && COMPREPLY=($(compgen -f -- "$word"))
 }
 complete -o filenames -F _yarrowbarrow yarrowbarrow
-`, strings.Join(append(names, flags(parser.Model.Node)...), " "), strings.Join(cases, "\n"))
+`, strings.Join(append(names, flagNames(parser.Model.Node)...), " "), strings.Join(cases, "\n"))
 	return err
 }
--- a/cmd/yarrowbarrow/version.go
+++ b/cmd/yarrowbarrow/version.go
@@ -2,17 +2,17 @@
 
 import "runtime/debug"
 
-// version is the module's, or the commit that it was built from.
+// version returns the module version, or the commit for a development build, followed by the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	out := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" && (out == "" || out == "(devel)") {
-			out = s.Value
+	revision := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" && (revision == "" || revision == "(devel)") {
+			revision = setting.Value
 		}
 	}
-	return out + " " + info.GoVersion
+	return revision + " " + info.GoVersion
 }
