--- a/config/platform.go
+++ b/config/platform.go
@@ -18,7 +18,7 @@
 	locations := []logic.Location{settings.Location}
 	for _, class := range settings.Classes {
 		platformClass := lang.PlatformClass{Name: string(class.Name), LatencyTarget: class.LatencyTarget,
-			Deadline: class.Deadline, DedupWindow: class.Window, Keyed: class.Repeat == logic.Keyed}
+			Deadline: class.Deadline, DedupWindow: class.DedupWindow, Keyed: class.Repeat == logic.Keyed}
 		for _, location := range class.Locations {
 			platformClass.Locations = append(platformClass.Locations, string(location))
 		}
--- a/config/settings.go
+++ b/config/settings.go
@@ -98,15 +98,15 @@
 		Controllers: document.Controllers, Number: document.ControllerNumber, Location: document.Location,
 		OverShareValue: document.OverShareValue,
 		ListOnRequest:  document.Discovery == "on_request", MayRecall: document.Permissions.MayRecall,
-		GrantsCount: document.FamilyInfo.GrantsCount, PriorityHeeded: document.FamilyInfo.PriorityHeeded,
-		GrantShare: document.FamilyInfo.GrantShare, OverGrantsPage: document.FamilyInfo.OutOfMemory == "swap",
+		GrantsHeeded: document.FamilyInfo.GrantsCount, PriorityHeeded: document.FamilyInfo.PriorityHeeded,
+		GrantShare: document.FamilyInfo.GrantShare, SwapsWhenFull: document.FamilyInfo.OutOfMemory == "swap",
 		MaxAttempts: document.Permissions.MaxAttempts, Tick: document.Tick,
-		StartCapacity: document.Safety.StartCapacity, Cold: document.Safety.Cold, FallMultiple: document.Safety.FallMultiple,
-		Fall: document.Safety.Fall, KeyQuiet: document.Safety.KeyQuiet, BudgetWindow: document.Safety.BudgetWindow,
-		BudgetFree: document.Safety.BudgetFree, BudgetShare: document.Safety.BudgetShare,
+		StartCapacity: document.Safety.StartCapacity, ColdPeriod: document.Safety.Cold, CollapseMultiple: document.Safety.FallMultiple,
+		CollapsePeriod: document.Safety.Fall, KeyQuietPeriod: document.Safety.KeyQuiet, BudgetWindow: document.Safety.BudgetWindow,
+		BudgetFloor: document.Safety.BudgetFree, BudgetShare: document.Safety.BudgetShare,
 	}
 	if document.Permissions.RetryAfter {
-		logicSettings.MaxComeBack = document.Permissions.MaxRetryAfter
+		logicSettings.MaxRetryAfter = document.Permissions.MaxRetryAfter
 	}
 	for index, class := range document.Classes {
 		repeat, known := map[string]logic.Repeat{"retryable": logic.Idempotent, "dedup": logic.Keyed,
@@ -117,11 +117,11 @@
 		}
 		logicClass := logic.Class{Name: logic.ClassName(class.Name), LatencyTarget: class.LatencyTarget, TargetStretch: class.TargetStretch,
 			Deadline: class.Deadline, Value: class.Value, LateValue: class.LateValue, Repeat: repeat,
-			Group:  map[string]logic.Group{"zone": logic.GroupLocation, "cell": logic.GroupCell}[class.Group],
-			Window: class.DedupWindow, Ordered: class.Ordered, Locations: class.Locations,
+			Group:       map[string]logic.Group{"zone": logic.GroupLocation, "cell": logic.GroupCell}[class.Group],
+			DedupWindow: class.DedupWindow, Ordered: class.Ordered, Locations: class.Locations,
 			Kinds: class.Kinds, Threads: valueAt(document.FamilyInfo.ThreadsByClass, index, 1),
-			HoldsLoad: valueAt(document.FamilyInfo.HoldsLoad, index, false),
-			StandsBy:  valueAt(document.FamilyInfo.BlockedByLoads, index, false)}
+			HoldsTables:    valueAt(document.FamilyInfo.HoldsLoad, index, false),
+			BlockedByLoads: valueAt(document.FamilyInfo.BlockedByLoads, index, false)}
 		logicSettings.Classes = append(logicSettings.Classes, logicClass)
 	}
 	for index, kind := range document.EngineKinds {
@@ -130,7 +130,7 @@
 	}
 	for _, org := range document.Customers {
 		logicSettings.Customers = append(logicSettings.Customers,
-			logic.Customer{Name: org.Name, JobsPerS: org.JobsPerS})
+			logic.Customer{Name: org.Name, JobsPerSecond: org.JobsPerS})
 	}
 	return Settings{Logic: logicSettings, Columns: document.LoadReport.Columns, ConnectTimeout: document.Permissions.ConnectTimeout,
 		IdleClose: document.Permissions.IdleClose, Streams: document.Permissions.Streams, OpenCap: document.Permissions.OpenCap,
@@ -148,7 +148,7 @@
 // limitsAdapter adapts the limits of decide/limit to the types of package logic.
 type limitsAdapter struct{ *limit.Limits }
 
-func (l limitsAdapter) Within(now time.Duration, customer logic.CustomerID) bool {
+func (l limitsAdapter) TakeCustomerShare(now time.Duration, customer logic.CustomerID) bool {
 	return l.Limits.Within(now, limit.CustomerID(customer))
 }
 
@@ -156,11 +156,11 @@
 
 func newLimits(settings logic.Settings) limitsAdapter {
 	limitSettings := limit.Settings{Controllers: settings.Controllers, Number: settings.Number, BudgetWindow: settings.BudgetWindow,
-		BudgetFree: settings.BudgetFree, BudgetShare: settings.BudgetShare, StartCapacity: settings.StartCapacity,
-		Cold: settings.Cold, FallMultiple: settings.FallMultiple, Fall: settings.Fall}
+		BudgetFree: settings.BudgetFloor, BudgetShare: settings.BudgetShare, StartCapacity: settings.StartCapacity,
+		Cold: settings.ColdPeriod, FallMultiple: settings.CollapseMultiple, Fall: settings.CollapsePeriod}
 	for _, customer := range settings.Customers {
 		limitSettings.Customers = append(limitSettings.Customers,
-			limit.Customer{Name: limit.CustomerID(customer.Name), JobsPerS: customer.JobsPerS})
+			limit.Customer{Name: limit.CustomerID(customer.Name), JobsPerS: customer.JobsPerSecond})
 	}
 	return limitsAdapter{limit.New(limitSettings)}
 }
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -111,7 +111,7 @@
 				break
 			}
 			c.removeFromLink(a)
-			c.finishAttempt(a, logic.TurnedAway)
+			c.finishAttempt(a, logic.Refused)
 		case "FAULT":
 			c.removeFromLink(a)
 			c.finishAttempt(a, logic.Errored)
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -33,7 +33,7 @@
 				}
 				c.adoptRoutes(plan, route.NewTable(plan, nil))
 			}
-			c.logic.ListBegins(c.now, logic.ListWhole)
+			c.logic.ListBegins(c.now, logic.ListComplete)
 			for n := range 8 {
 				e := &engine{id: logic.EngineID(fmt.Sprint("e", n)), location: "east", kind: "std"}
 				c.engines[e.id] = e
@@ -54,14 +54,14 @@
 				if !c.admitToRoute(j, fmt.Sprint("org-", n%max(routes, 1)), 20, 0, 1) {
 					b.Fatal("refused")
 				}
-				c.logic.JobTaken(c.now, j.id, j.class, "", "", j.deadline, 20*time.Millisecond, 0, 1, false, j.placement)
+				c.logic.JobArrived(c.now, j.id, j.class, "", "", j.deadline, 20*time.Millisecond, 0, 1, false, j.placement)
 				if j.attempts != 1 {
 					b.Fatal("not attempted")
 				}
 				if c.router != nil {
 					c.router.AttemptOver(c.now, route.JobID(j.id))
 				}
-				c.logic.AttemptOver(c.now, j.id, 0, "", logic.Done, 20*time.Millisecond, true, 20*time.Millisecond, 0, noLoad)
+				c.logic.AttemptEnded(c.now, j.id, 0, "", logic.Done, 20*time.Millisecond, true, 20*time.Millisecond, 0, noLoad)
 				j.client = nil
 				c.forgetJob(j)
 				c.pendingCalls = nil
@@ -79,15 +79,15 @@
 		h.c.router.Attempted(h.c.now, route.JobID(id))
 	}
 }
-func (benchHost) SetTerms(logic.JobID, float64, int)     {}
-func (benchHost) Recall(logic.JobID, int)                {}
-func (benchHost) Reject(logic.JobID, time.Duration)      {}
-func (benchHost) Fail(logic.JobID)                       {}
-func (benchHost) WakeAfter(logic.TimerID, time.Duration) {}
-func (benchHost) Follow(bool)                            {}
-func (benchHost) FetchList()                             {}
-func (benchHost) Probe(logic.EngineID)                   {}
-func (benchHost) CloseIdle(logic.EngineID)               {}
-func (benchHost) TellPeer(logic.PeerID, string)          {}
-func (benchHost) Suspects(logic.EngineID, bool)          {}
-func (benchHost) Log(string)                             {}
+func (benchHost) SetTerms(logic.JobID, float64, int)      {}
+func (benchHost) Recall(logic.JobID, int)                 {}
+func (benchHost) Reject(logic.JobID, time.Duration)       {}
+func (benchHost) Fail(logic.JobID)                        {}
+func (benchHost) StartTimer(logic.TimerID, time.Duration) {}
+func (benchHost) FollowList(bool)                         {}
+func (benchHost) FetchList()                              {}
+func (benchHost) Probe(logic.EngineID)                    {}
+func (benchHost) CloseIdle(logic.EngineID)                {}
+func (benchHost) SendToPeer(logic.PeerID, string)         {}
+func (benchHost) SetSuspected(logic.EngineID, bool)       {}
+func (benchHost) Log(string)                              {}
--- a/controller/clients.go
+++ b/controller/clients.go
@@ -353,7 +353,7 @@
 		if cl.turnedAway || cl.refusesJobs {
 			c.counts[jobsOverLimit]++
 			cl.jobs[stream] = j
-			c.rejectJob(j, c.cfg.Settings.Logic.MaxComeBack)
+			c.rejectJob(j, c.cfg.Settings.Logic.MaxRetryAfter)
 			cl.closeWhenFlushed()
 			return
 		}
@@ -365,7 +365,7 @@
 		if openCap := c.cfg.Settings.OpenCap; c.overMemory(len(j.statement)) || openCap > 0 && len(c.jobs) >= openCap ||
 			len(cl.jobs) > streamsPerClient || c.phase >= Leaving || c.paused {
 			c.counts[jobsOverLimit]++
-			c.rejectJob(j, c.cfg.Settings.Logic.MaxComeBack)
+			c.rejectJob(j, c.cfg.Settings.Logic.MaxRetryAfter)
 			return
 		}
 		j.acceptedAt = c.now
@@ -378,7 +378,7 @@
 		if !c.admitToRoute(j, customer, costMS, needMB, tables) {
 			return
 		}
-		c.logic.JobTaken(c.now, j.id, j.class, tenant, key, j.deadline, time.Duration(costMS*float64(time.Millisecond)),
+		c.logic.JobArrived(c.now, j.id, j.class, tenant, key, j.deadline, time.Duration(costMS*float64(time.Millisecond)),
 			needMB, logic.Tables(max(tables, 0)), isRetry, j.placement)
 	}
 }
@@ -519,7 +519,7 @@
 	c.schedule(leaveAt, c.leaveRound)
 	deadline := c.exit.Last()
 	// An attempt whose answer can't arrive before the end is not sent.
-	c.logic.Leaving(c.now, deadline)
+	c.logic.ShuttingDown(c.now, deadline)
 	for _, id := range sorted(c.jobs) {
 		j := c.jobs[id]
 		if j.deadline = min(j.deadline, deadline); j.inFlight != nil && j.inFlight.deadline > deadline {
--- a/controller/crossing_attempt_test.go
+++ b/controller/crossing_attempt_test.go
@@ -126,7 +126,7 @@
 	asked int
 }
 
-func (m *refusingModule) Began(time.Duration, logic.JobID) bool {
+func (m *refusingModule) MayStart(time.Duration, logic.JobID) bool {
 	m.asked++
 	return false
 }
@@ -266,7 +266,7 @@
 func TestWindowPassesWhileDialing(t *testing.T) {
 	e := newFakeEngine(t, "127.0.0.1:0")
 	b := startWithConfig(t, "", func(cfg *config.Config) {
-		cfg.Settings.Logic.Classes[1].Window = 300 * time.Millisecond
+		cfg.Settings.Logic.Classes[1].DedupWindow = 300 * time.Millisecond
 		cfg.Settings.Logic.Classes[1].Deadline = time.Hour // far beyond testTimeout: only the window ends the job
 	}, e)
 	cl := b.connect()
@@ -453,7 +453,7 @@
 	const rest = 300 * time.Millisecond
 	e := newFakeEngine(t, "127.0.0.1:0")
 	b := startWithConfig(t, "", func(cfg *config.Config) {
-		cfg.Settings.Logic.Classes[1].Ordered, cfg.Settings.Logic.KeyQuiet = true, rest
+		cfg.Settings.Logic.Classes[1].Ordered, cfg.Settings.Logic.KeyQuietPeriod = true, rest
 		cfg.Settings.Logic.Classes[1].Repeat = logic.NonIdempotent
 	}, e)
 	cl := b.connect()
@@ -498,10 +498,10 @@
 	jobs chan [3]any
 }
 
-func (m recordingModule) JobTaken(now time.Duration, id logic.JobID, name logic.ClassName, customer logic.CustomerID, key logic.Key,
+func (m recordingModule) JobArrived(now time.Duration, id logic.JobID, name logic.ClassName, customer logic.CustomerID, key logic.Key,
 	expires, cost time.Duration, memory float64, tables logic.Tables, repeat bool, place logic.Placement) {
 	m.jobs <- [3]any{customer, key, repeat}
-	m.Module.JobTaken(now, id, name, customer, key, expires, cost, memory, tables, repeat, place)
+	m.Module.JobArrived(now, id, name, customer, key, expires, cost, memory, tables, repeat, place)
 }
 
 // TestToldOfJob: the tenant, key and repeat flag of a job reach the module; names that are too long are answered with an
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -49,7 +49,7 @@
 func (d *discovery) loadKnown(known []byte) error {
 	events, err := d.parse(known)
 	if err == nil {
-		d.applyEvents(events, func(bool) logic.ListKind { return logic.ListRemembered })
+		d.applyEvents(events, func(bool) logic.ListKind { return logic.ListInitial })
 	}
 	return err
 }
@@ -357,7 +357,7 @@
 	d.failures++
 	if c.cfg.Settings.Logic.ListOnRequest {
 		d.following = false
-		c.logic.ListBegins(c.now, logic.ListRefused)
+		c.logic.ListBegins(c.now, logic.ListFailed)
 		c.logic.ListEnds(c.now)
 		return
 	}
@@ -429,7 +429,7 @@
 // listKind returns the kind of an event's list.
 func listKind(wholeList bool) logic.ListKind {
 	if wholeList {
-		return logic.ListWhole
+		return logic.ListComplete
 	}
 	return logic.ListChanges
 }
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -237,7 +237,7 @@
 
 // mayBegin asks the module again about an attempt that has waited since it was decided.
 func (c *Controller) mayBegin(a *attempt) bool {
-	return c.now == a.decidedAt || c.logic.Began(c.now, a.job.id)
+	return c.now == a.decidedAt || c.logic.MayStart(c.now, a.job.id)
 }
 
 // leastLoadedLink returns the usable connection with the fewest attempts that has not carried the job's id, or nil.
--- a/controller/faults.go
+++ b/controller/faults.go
@@ -122,14 +122,14 @@
 		c.adoptRoutes(c.plan, route.NewTable(c.plan, nil))
 		c.router.ListEnds(c.now)
 	}
-	c.logic.ListBegins(c.now, logic.ListRemembered)
+	c.logic.ListBegins(c.now, logic.ListInitial)
 	for _, id := range sorted(c.engines) {
 		e := c.engines[id]
 		c.logic.EngineListed(c.now, e.id, e.location, e.kind, e.cell, e.state, e.weight, e.startedAt)
 	}
 	c.logic.ListEnds(c.now)
 	if c.exit != nil {
-		c.logic.Leaving(c.now, c.exit.Last())
+		c.logic.ShuttingDown(c.now, c.exit.Last())
 	}
 }
 
--- a/controller/faults_test.go
+++ b/controller/faults_test.go
@@ -12,18 +12,18 @@
 	"yarrowbarrow/logic"
 )
 
-// faultyModule panics in JobTaken while jobs is set.
+// faultyModule panics in JobArrived while jobs is set.
 type faultyModule struct {
 	logic.Module
 	jobs *atomic.Bool
 }
 
-func (m faultyModule) JobTaken(now time.Duration, id logic.JobID, name logic.ClassName, customer logic.CustomerID, key logic.Key,
+func (m faultyModule) JobArrived(now time.Duration, id logic.JobID, name logic.ClassName, customer logic.CustomerID, key logic.Key,
 	expires, cost time.Duration, memory float64, tables logic.Tables, repeat bool, place logic.Placement) {
 	if m.jobs.Load() {
 		panic("for the test")
 	}
-	m.Module.JobTaken(now, id, name, customer, key, expires, cost, memory, tables, repeat, place)
+	m.Module.JobArrived(now, id, name, customer, key, expires, cost, memory, tables, repeat, place)
 }
 
 // TestPanicsThatKeepComingEndProcess: however often the module panics, each job is answered and the process continues.
--- a/controller/guard.go
+++ b/controller/guard.go
@@ -29,7 +29,7 @@
 	if class == nil || c.checksDisabled {
 		return true
 	}
-	repeat := invariant.Repeat{Now: c.now, Out: j.inFlight != nil, Ran: j.mayHaveRun, Window: class.Window, To: placeOf(to), Effect: effectOf(class),
+	repeat := invariant.Repeat{Now: c.now, Out: j.inFlight != nil, Ran: j.mayHaveRun, Window: class.DedupWindow, To: placeOf(to), Effect: effectOf(class),
 		Group: groupOf(class)}
 	return !c.reportViolation(repeat.Check(), "job", j.id, "engine", to.id, "attempts", j.attempts)
 }
@@ -60,7 +60,7 @@
 
 // checkEndedAttempt records whether an attempt may have run, and checks the time at which it was sent.
 func (c *Controller) checkEndedAttempt(a *attempt, outcome logic.Outcome) {
-	if outcome != logic.TurnedAway && outcome != logic.NoConnection && outcome != logic.NotSent {
+	if outcome != logic.Refused && outcome != logic.NoConnection && outcome != logic.NotSent {
 		a.job.mayHaveRun = append(a.job.mayHaveRun, invariant.Ran{Sent: a.decidedAt, At: placeOf(a.engine)})
 	}
 	sentAt := time.Duration(a.firstByteAt.Load())
--- a/controller/host.go
+++ b/controller/host.go
@@ -94,22 +94,22 @@
 	}
 }
 
-func (h host) WakeAfter(timer logic.TimerID, delay time.Duration) {
+func (h host) StartTimer(timer logic.TimerID, delay time.Duration) {
 	h.c.schedule(h.c.now+delay, func() { h.c.logic.TimerDue(h.c.now, timer) })
 }
 
-func (h host) Follow(on bool)          { h.c.runLater(func() { h.c.discovery.setFollowing(on) }) }
+func (h host) FollowList(on bool)      { h.c.runLater(func() { h.c.discovery.setFollowing(on) }) }
 func (h host) FetchList()              { h.c.runLater(h.c.discovery.refetch) }
 func (h host) Probe(id logic.EngineID) { h.c.runLater(func() { h.c.probe(id) }) }
 func (h host) CloseIdle(id logic.EngineID) {
 	h.c.runLater(func() { h.c.closeIdleLinks(h.c.engines[id], 0) })
 }
 
-// TellPeer only counts: this network gives controllers no way to talk to each other.
-func (h host) TellPeer(logic.PeerID, string) { h.c.counts[peerMessagesDropped]++ }
+// SendToPeer only counts: this network gives controllers no way to talk to each other.
+func (h host) SendToPeer(logic.PeerID, string) { h.c.counts[peerMessagesDropped]++ }
 
-// Suspects passes a suspicion about an engine, or its end, to the router.
-func (h host) Suspects(id logic.EngineID, suspected bool) {
+// SetSuspected passes a suspicion about an engine, or its end, to the router.
+func (h host) SetSuspected(id logic.EngineID, suspected bool) {
 	if r := h.c.router; r != nil {
 		h.c.runLater(func() { r.EngineSuspected(h.c.now, route.EngineID(id), suspected) })
 	}
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -83,10 +83,10 @@
 	} else if c.router != nil { // before the module, which must not send the job on to a pool that is down
 		previousPlacement := j.placement
 		if c.router.AttemptOver(c.now, route.JobID(j.id)); j.placement != previousPlacement {
-			c.logic.Placed(c.now, j.id, j.placement, false)
+			c.logic.PlacementChanged(c.now, j.id, j.placement, false)
 		}
 	}
-	c.logic.AttemptOver(c.now, j.id, a.number, a.engine.id, outcome, c.now-a.decidedAt, ended, a.work, a.memory, a.load)
+	c.logic.AttemptEnded(c.now, j.id, a.number, a.engine.id, outcome, c.now-a.decidedAt, ended, a.work, a.memory, a.load)
 }
 
 // abandonAttempt ends an attempt that the engine may be working on, or one that was never sent. What is still queued is
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -17,7 +17,7 @@
 
 func (p placement) Allows(e logic.EngineID) bool { return p.Lane.Allows(route.EngineID(e)) }
 
-func (p placement) Further(first, over time.Duration) bool {
+func (p placement) MayRetry(first, over time.Duration) bool {
 	return p.Lane.Further(p.c.now, first, over)
 }
 
@@ -40,7 +40,7 @@
 	}
 	h.c.counts[refusedByRoute]++
 	h.c.logEvent(slog.LevelDebug, "route refuses", "job", id, "why", why, "after", retryAfter)
-	h.c.rejectJob(j, min(retryAfter, h.c.cfg.Settings.Logic.MaxComeBack))
+	h.c.rejectJob(j, min(retryAfter, h.c.cfg.Settings.Logic.MaxRetryAfter))
 	h.c.forgetJob(j)
 }
 
@@ -54,7 +54,7 @@
 	j.placement = placement{h.c, lane}
 	h.c.runLater(func() {
 		if h.c.jobs[j.id] == j {
-			h.c.logic.Placed(h.c.now, j.id, j.placement, false)
+			h.c.logic.PlacementChanged(h.c.now, j.id, j.placement, false)
 		}
 	})
 }
@@ -63,7 +63,7 @@
 func (h routeHost) GiveUp(id route.JobID) {
 	h.c.runLater(func() {
 		if j := h.c.jobs[logic.JobID(id)]; j != nil {
-			h.c.logic.Placed(h.c.now, j.id, j.placement, true)
+			h.c.logic.PlacementChanged(h.c.now, j.id, j.placement, true)
 		}
 	})
 }
@@ -77,7 +77,7 @@
 	})
 }
 
-// WakeAfter wakes the router after a delay, unless it has been replaced by then.
+// StartTimer wakes the router after a delay, unless it has been replaced by then.
 func (h routeHost) WakeAfter(delay time.Duration) {
 	r := h.c.router
 	h.c.schedule(h.c.now+delay, func() {
--- a/decide/limit/budget.go
+++ b/decide/limit/budget.go
@@ -39,8 +39,8 @@
 	return Budget{window: window, freeRetries: freeRetries, retriesPerJob: retriesPerJob}
 }
 
-// Earned counts a job that was taken at the given time. now is the current time.
-func (b *Budget) Earned(now, takenAt time.Duration) {
+// CountJob counts a job that was taken at the given time. now is the current time.
+func (b *Budget) CountJob(now, takenAt time.Duration) {
 	if b.window == 0 {
 		return
 	}
@@ -48,11 +48,11 @@
 	b.jobTimes = insertSorted(b.jobTimes, takenAt)
 }
 
-// MayRepeat reports whether the budget allows another retry now. It does not count the retry.
-func (b *Budget) MayRepeat(now time.Duration) bool { return b.allowsRetry(now) }
+// MayRetry reports whether the budget allows another retry now. It does not count the retry.
+func (b *Budget) MayRetry(now time.Duration) bool { return b.allowsRetry(now) }
 
-// Repeated counts a retry that was decided now.
-func (b *Budget) Repeated(now time.Duration) {
+// CountRetry counts a retry that was decided now.
+func (b *Budget) CountRetry(now time.Duration) {
 	if b.window == 0 {
 		return
 	}
@@ -60,9 +60,9 @@
 	b.retryTimes = insertSorted(b.retryTimes, now)
 }
 
-// Began is called when a retry is about to start that was decided earlier. It reports whether the retry may start, and if so
+// MayStartRetry is called when a retry is about to start that was decided earlier. It reports whether the retry may start, and if so
 // counts it from now on instead of from its decision. If not, the retry stays counted at the time of its decision.
-func (b *Budget) Began(decidedAt, now time.Duration) bool {
+func (b *Budget) MayStartRetry(decidedAt, now time.Duration) bool {
 	if b.window == 0 {
 		return true
 	}
--- a/decide/limit/budget_test.go
+++ b/decide/limit/budget_test.go
@@ -29,10 +29,10 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * ms
 			if rapid.Bool().Draw(t, "job") {
-				l.Earned(now, now)
+				l.CountJob(now, now)
 				jobTimes = append(jobTimes, now)
-			} else if l.MayRepeat(now) {
-				l.Repeated(now)
+			} else if l.MayRetry(now) {
+				l.CountRetry(now)
 				retryTimes = append(retryTimes, now)
 				if n := countWithin(retryTimes, now-settings.BudgetWindow, now); float64(n) > settings.BudgetFree+
 					settings.BudgetShare*float64(countWithin(jobTimes, now-settings.BudgetWindow, now)) {
@@ -64,7 +64,7 @@
 	for len(o.pending) > 0 && o.pending[0].startsAt <= now {
 		a := o.pending[0]
 		o.pending = o.pending[1:]
-		if a.startsAt == a.decidedAt || o.budget.Began(a.decidedAt, a.startsAt) {
+		if a.startsAt == a.decidedAt || o.budget.MayStartRetry(a.decidedAt, a.startsAt) {
 			o.sentTimes = append(o.sentTimes, a.sentAt)
 		}
 	}
@@ -119,7 +119,7 @@
 					freeRetries: o.freeRetries, retriesPerJob: o.retriesPerJob}
 			case rng.Float64() < jobProbability:
 				o.jobTimes = append(o.jobTimes, now-randomUpTo(maxDelay))
-				o.budget.Earned(now, now)
+				o.budget.CountJob(now, now)
 			default:
 				o.retryAll(now, func() (dial, leave time.Duration) {
 					if rng.Float64() < dialProbability {
@@ -138,8 +138,8 @@
 
 // retryAll decides as many retries as the budget allows, as happens when all attempts fail at once.
 func (o *observedBudget) retryAll(now time.Duration, randomDelays func() (dial, send time.Duration)) {
-	for o.budget.MayRepeat(now) {
-		o.budget.Repeated(now)
+	for o.budget.MayRetry(now) {
+		o.budget.CountRetry(now)
 		dial, send := randomDelays()
 		o.pending = append(o.pending, pendingRetry{now, now + dial, now + dial + send})
 	}
--- a/decide/limit/cold.go
+++ b/decide/limit/cold.go
@@ -23,8 +23,8 @@
 // Engine returns an empty record for an engine with the given number of cores.
 func (l *Limits) Engine(cores float64) *Engine { return &Engine{limits: l, cores: cores} }
 
-// Started sets when the engine's process started, 0 if that is long ago. Work sent earlier still counts, as it may be in transit.
-func (e *Engine) Started(startedAt time.Duration) { e.startedAt = startedAt }
+// SetStart sets when the engine's process started, 0 if that is long ago. Work sent earlier still counts, as it may be in transit.
+func (e *Engine) SetStart(startedAt time.Duration) { e.startedAt = startedAt }
 
 // Cold reports whether the engine started too recently to have its full capacity.
 func (e *Engine) Cold(now time.Duration) bool {
@@ -45,7 +45,7 @@
 const turnFraction = 0.5
 
 // Allows reports whether a job of the given work may be sent to the engine now (rule 4). The work that a cold engine can take in
-// a span, Settings.Fall, is divided equally among the controllers that have it in their subsets; others send nothing. share is
+// a span, Settings.CollapsePeriod, is divided equally among the controllers that have it in their subsets; others send nothing. share is
 // the fraction of all controllers that have the engine in their subset: the size of a subset over the number of engines.
 //
 // A job larger than the controller's allowance for one span is sent in turn: the controllers' turns are spread by controller
@@ -105,9 +105,9 @@
 	return settings.StartCapacity + (1-settings.StartCapacity)*math.Max(age, 0)/2
 }
 
-// Sent records a job that was sent to the engine. It also does so while the engine is not cold, as a controller may learn of a
+// CountWork records a job that was sent to the engine. It also does so while the engine is not cold, as a controller may learn of a
 // restart only later.
-func (e *Engine) Sent(now, work time.Duration, share float64) {
+func (e *Engine) CountWork(now, work time.Duration, share float64) {
 	firstRecent := sort.Search(len(e.recent), func(n int) bool { return e.recent[n].sentAt >= now-e.limits.settings.Cold })
 	e.recent = append(e.recent[firstRecent:], sentJob{now, e.totalSent})
 	e.totalSent += work
--- a/decide/limit/fleet_test.go
+++ b/decide/limit/fleet_test.go
@@ -54,7 +54,7 @@
 		l := New(settings)
 		l.Within(start-time.Minute, "")
 		e := l.Engine(c.cores)
-		e.Started(start)
+		e.SetStart(start)
 		senders = append(senders, sender{e, time.Duration(rng.Int63n(int64(2 * time.Second))),
 			time.Duration(rng.Int63n(int64(200*ms))) - 100*ms, share})
 	}
@@ -66,13 +66,13 @@
 				l := New(settings)
 				l.Within(now, "")
 				s.Engine = l.Engine(c.cores)
-				s.Engine.Started(start)
+				s.Engine.SetStart(start)
 			}
 			if now-start < s.learnsAfter || rng.Float64() >= c.sendProbability(n) {
 				continue
 			}
 			if w := c.jobWorks[rng.Intn(len(c.jobWorks))]; s.Allows(now+s.clockSkew, w, s.share) {
-				s.Sent(now+s.clockSkew, w, s.share)
+				s.CountWork(now+s.clockSkew, w, s.share)
 				sentAt, work = append(sentAt, now-start), append(work, w)
 			}
 		}
--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -4,7 +4,7 @@
 // no clock; times are whole nanoseconds of one monotonic clock.
 //
 // It guarantees, with equal parts for all controllers: no window has more retries than the settings allow (Budget); in any span
-// of Settings.Fall, all controllers together send a cold engine no more than the share coldUsableShare of the work that makes it
+// of Settings.CollapsePeriod, all controllers together send a cold engine no more than the share coldUsableShare of the work that makes it
 // fail, as long as no controller has turns at more than one engine at a time.
 package limit
 
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -50,8 +50,8 @@
 	l := New(Settings{Controllers: 1, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second})
 	l.Within(start+time.Second, "")
 	before, after := l.Engine(4), l.Engine(4)
-	before.Started(start)
-	after.Started(start + time.Second + ms)
+	before.SetStart(start)
+	after.SetStart(start + time.Second + ms)
 	for _, c := range []struct {
 		at            time.Duration
 		before, after bool
@@ -68,7 +68,7 @@
 	l := New(Settings{Controllers: 3, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second})
 	l.Within(0, "") // the process started long before the engine
 	e := l.Engine(4)
-	e.Started(time.Minute)
+	e.SetStart(time.Minute)
 	var lines []string
 	for now := time.Minute; now <= time.Minute+11*time.Second; now += 500 * ms {
 		line := fmt.Sprintf("%5d ms", (now - time.Minute).Milliseconds())
@@ -78,7 +78,7 @@
 		}{{"report", 4 * time.Second}, {"lookup", 400 * ms}} {
 			if e.Allows(now, job.work, 1) {
 				line += "  " + job.name
-				e.Sent(now, job.work, 1)
+				e.CountWork(now, job.work, 1)
 			}
 		}
 		lines = append(lines, line)
@@ -95,7 +95,7 @@
 		var engines []*Engine
 		for settings.Number = range controllers {
 			e := New(settings).Engine(4)
-			e.Started(time.Minute)
+			e.SetStart(time.Minute)
 			engines = append(engines, e)
 		}
 		type sentJob struct{ at, work time.Duration }
@@ -106,7 +106,7 @@
 			for n, e := range engines {
 				step++
 				if work := works[(step+n)%len(works)]; step*7919%100 >= skipPercent[n] && e.Allows(now, work, 1) {
-					e.Sent(now, work, 1)
+					e.CountWork(now, work, 1)
 					all = append(all, sentJob{now, work})
 				}
 			}
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -22,7 +22,7 @@
 	GiveUp(job JobID)
 	// TakeBack withdraws the attempt of a job unless it has already been sent to the engine.
 	TakeBack(job JobID)
-	// WakeAfter schedules a call of Router.TimerDue.
+	// StartTimer schedules a call of Router.TimerDue.
 	WakeAfter(delay time.Duration)
 	Log(line string)
 }
@@ -73,9 +73,9 @@
 	set            *[2]*poolState
 }
 
-// Set returns a comparable value that identifies the pools of the lane: it is equal for all lanes of a version with
+// EngineSetKey returns a comparable value that identifies the pools of the lane: it is equal for all lanes of a version with
 // the same pools, also for those of different routes. It is nil for a lane that allows every engine.
-func (l *Lane) Set() any {
+func (l *Lane) EngineSetKey() any {
 	if l.set == nil {
 		return nil
 	}
@@ -87,9 +87,9 @@
 	return l.primary == nil || l.primary.pool.members[id] != nil || l.extra != nil && l.extra.pool.members[id] != nil
 }
 
-// Room reports whether a job of the lane may be sent now: the lane has engines, and the route is below its limit of
+// HasRoom reports whether a job of the lane may be sent now: the lane has engines, and the route is below its limit of
 // concurrent attempts.
-func (l *Lane) Room() bool {
+func (l *Lane) HasRoom() bool {
 	policy := &l.route.Policy
 	return (policy.MostOut == 0 || l.route.meter.inFlight < policy.MostOut) &&
 		(l.primary == nil || len(l.primary.pool.members) > 0 || l.extra != nil && len(l.extra.pool.members) > 0)
@@ -337,7 +337,7 @@
 	}
 }
 
-// TimerDue handles the timer that Host.WakeAfter started: overflows that are due, and status changes by time.
+// TimerDue handles the timer that Host.StartTimer started: overflows that are due, and status changes by time.
 func (r *Router) TimerDue(now time.Duration) {
 	r.now, r.wakeScheduled = now, false
 	for len(r.pendingOverflows) > 0 && r.pendingOverflows[0].dueAt <= now {
@@ -518,7 +518,7 @@
 	return nil, true
 }
 
-// JobTaken handles a job that arrives: it finds the route and calls Host.Admit or Host.Refuse.
+// JobArrived handles a job that arrives: it finds the route and calls Host.Admit or Host.Refuse.
 func (r *Router) JobTaken(now time.Duration, id JobID, properties *Job) {
 	r.now = now
 	v := r.newestVersion()
@@ -593,8 +593,8 @@
 	m.recordDeparture(now)
 }
 
-// AttemptOver records that the attempt of a job has ended. The job is held again, unless JobOver follows. The caller
-// calls AttemptOver before it notifies the decision module, so that the job is reassigned before it can be retried in
+// AttemptEnded records that the attempt of a job has ended. The job is held again, unless JobOver follows. The caller
+// calls AttemptEnded before it notifies the decision module, so that the job is reassigned before it can be retried in
 // its old lane.
 func (r *Router) AttemptOver(now time.Duration, id JobID) {
 	r.now = now
--- a/decide/route/router_test.go
+++ b/decide/route/router_test.go
@@ -242,11 +242,11 @@
 	h.submitJobs("j1", "j2", "j3", "j4", "j5")
 	h.advance(100 * msec)
 	h.submitJobs("j6")
-	h.tracef("room %v", h.lanes["j1"].Room())
+	h.tracef("room %v", h.lanes["j1"].HasRoom())
 	h.startAttempts("j1")
-	h.tracef("room %v", h.lanes["j2"].Room())
+	h.tracef("room %v", h.lanes["j2"].HasRoom())
 	h.finishJobs("j1")
-	h.tracef("room %v", h.lanes["j2"].Room())
+	h.tracef("room %v", h.lanes["j2"].HasRoom())
 	for n := range 6 { // one job leaves every 50 ms
 		id := JobID(fmt.Sprint("h", n))
 		h.submitJobs(id)
@@ -327,7 +327,7 @@
 	h.tracef("j1 may go to a1 %v, a2 %v", h.lanes["j1"].Allows("a1"), h.lanes["j1"].Allows("a2"))
 	h.submitJobs("j4")
 	adopt(planWith(nil, poolAt("b", "b", nil))) // pool a is removed
-	h.tracef("room for j2 %v", h.lanes["j2"].Room())
+	h.tracef("room for j2 %v", h.lanes["j2"].HasRoom())
 	h.endAttempts("j2")
 	adopt(planWith(nil, poolAt("c", "c", nil))) // pool b is removed too, so no pool can take the old jobs
 	h.submitJobs("j5")
@@ -420,7 +420,7 @@
 			},
 			"send": func(t *rapid.T) {
 				j, found := pickJob(t, false)
-				if found && h.lanes[j].Room() && slices.ContainsFunc(engines, h.lanes[j].Allows) {
+				if found && h.lanes[j].HasRoom() && slices.ContainsFunc(engines, h.lanes[j].Allows) {
 					h.startAttempts(j)
 					inFlight[j] = true
 				}
--- a/decide/thin/thin.go
+++ b/decide/thin/thin.go
@@ -72,8 +72,8 @@
 // gets no jobs because it was slow is not judged by old answers forever.
 const fadeTime = 10 * time.Second
 
-// Answered adds the slowness of an answer that arrived now.
-func (e *Engine) Answered(now time.Duration, slowness float64) {
+// Add adds the slowness of an answer that arrived now.
+func (e *Engine) Add(now time.Duration, slowness float64) {
 	book := e.book
 	ownWeight := e.ownWeight(now)
 	if ownWeight >= 1 {
@@ -94,8 +94,8 @@
 
 func square(x float64) float64 { return x * x }
 
-// Anew discards the engine's own answers. It is called when the engine's process was replaced.
-func (e *Engine) Anew() { e.slowness = mean{} }
+// Reset discards the engine's own answers. It is called when the engine's process was replaced.
+func (e *Engine) Reset() { e.slowness = mean{} }
 
 // ownWeight returns the number of own answers that still count now.
 func (e *Engine) ownWeight(now time.Duration) float64 {
@@ -116,8 +116,8 @@
 	return math.Min(math.Max(noiseVariance.value/math.Max(variance.value, 1e-9), minPoolWeight), maxPoolWeight)
 }
 
-// Slow returns the estimated slowness of the engine now, or 0 if the Book has no answers yet.
-func (e *Engine) Slow(now time.Duration) float64 {
+// Estimate returns the estimated slowness of the engine now, or 0 if the Book has no answers yet.
+func (e *Engine) Estimate(now time.Duration) float64 {
 	book := e.book
 	if book.overall.samples == 0 {
 		return 0
--- a/decide/thin/thin_test.go
+++ b/decide/thin/thin_test.go
@@ -41,7 +41,7 @@
 		now := time.Duration(n) * time.Second / perSecond
 		e := rng.Intn(engines)
 		sample := math.Min(scenario.slowness(e)*math.Exp(0.4*rng.NormFloat64()-0.08), 4)
-		estimates[e].Answered(now, sample)
+		estimates[e].Add(now, sample)
 		ownMeans[e].samples *= math.Exp(float64(last[e]-now) / float64(fadeTime))
 		ownMeans[e].add(sample, ownSamples)
 		last[e] = now
@@ -55,7 +55,7 @@
 			own += square(ownMeans[e].value - want)
 			all += square(overallMean.value - want)
 			fixed += square((weight*ownMeans[e].value+3*overallMean.value)/(weight+3) - want)
-			pooled += square(estimates[e].Slow(now) - want)
+			pooled += square(estimates[e].Estimate(now) - want)
 			count++
 		}
 	}
@@ -93,16 +93,16 @@
 	now := time.Duration(0)
 	answer := func(e int, slowness float64) {
 		now += 20 * ms
-		estimates[e].Answered(now, slowness*math.Exp(0.3*rng.NormFloat64()))
+		estimates[e].Add(now, slowness*math.Exp(0.3*rng.NormFloat64()))
 	}
 	for range 100 {
 		answer(rng.Intn(8), 1.2)
 	}
-	before := estimates[3].Slow(now)
+	before := estimates[3].Estimate(now)
 	for n := 1; ; n++ {
 		answer(3, 4)
 		answer(rng.Intn(3), 1.2)
-		if slow := estimates[3].Slow(now); slow > 2.2 {
+		if slow := estimates[3].Estimate(now); slow > 2.2 {
 			t.Logf("slowness after %d slow answers: %.2f (%.2f before)", n, slow, before)
 			break
 		} else if n > 8 {
@@ -112,11 +112,11 @@
 	for range 10 {
 		answer(rng.Intn(3), 1.2)
 	}
-	estimates[3].Anew()
-	if slow := estimates[3].Slow(now); slow > 1.5 {
+	estimates[3].Reset()
+	if slow := estimates[3].Estimate(now); slow > 1.5 {
 		t.Error("estimate still includes the earlier process: ", slow)
 	}
-	if slow := New().Engine("here", "std").Slow(now); slow != 0 {
+	if slow := New().Engine("here", "std").Estimate(now); slow != 0 {
 		t.Error("want 0 without any answers, got ", slow)
 	}
 }
@@ -127,12 +127,12 @@
 	rng := rand.New(rand.NewSource(1))
 	slow, quick := book.Engine("here", "std"), book.Engine("here", "std")
 	for n := range 40 {
-		slow.Answered(time.Duration(n)*20*ms, 4*math.Exp(0.3*rng.NormFloat64()))
+		slow.Add(time.Duration(n)*20*ms, 4*math.Exp(0.3*rng.NormFloat64()))
 	}
 	for n := range 40 {
-		quick.Answered(time.Second+time.Duration(n)*time.Second, math.Exp(0.3*rng.NormFloat64()))
+		quick.Add(time.Second+time.Duration(n)*time.Second, math.Exp(0.3*rng.NormFloat64()))
 	}
-	if x := slow.Slow(41 * time.Second); x > 1.6 {
+	if x := slow.Estimate(41 * time.Second); x > 1.6 {
 		t.Error(x)
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -78,15 +78,17 @@
 func (i *instance) Reject(job logic.JobID, retryAfter time.Duration) {
 	i.decide("refuse", job, retryAfter)
 }
-func (i *instance) Fail(job logic.JobID)                               { i.decide("give_up", job) }
-func (i *instance) WakeAfter(timer logic.TimerID, delay time.Duration) { i.decide("arm", timer, delay) }
-func (i *instance) Follow(enabled bool)                                { i.decide("tail", enabled) }
-func (i *instance) FetchList()                                         { i.decide("reload") }
-func (i *instance) Probe(engine logic.EngineID)                        { i.decide("sound_out", engine) }
-func (i *instance) CloseIdle(engine logic.EngineID)                    { i.decide("free_links", engine) }
-func (i *instance) TellPeer(peer logic.PeerID, message string)         { i.decide("share", peer, message) }
-func (i *instance) Suspects(logic.EngineID, bool)                      {}
-func (i *instance) Log(line string)                                    { i.decide("print", line) }
+func (i *instance) Fail(job logic.JobID) { i.decide("give_up", job) }
+func (i *instance) StartTimer(timer logic.TimerID, delay time.Duration) {
+	i.decide("arm", timer, delay)
+}
+func (i *instance) FollowList(enabled bool)                      { i.decide("tail", enabled) }
+func (i *instance) FetchList()                                   { i.decide("reload") }
+func (i *instance) Probe(engine logic.EngineID)                  { i.decide("sound_out", engine) }
+func (i *instance) CloseIdle(engine logic.EngineID)              { i.decide("free_links", engine) }
+func (i *instance) SendToPeer(peer logic.PeerID, message string) { i.decide("share", peer, message) }
+func (i *instance) SetSuspected(logic.EngineID, bool)            {}
+func (i *instance) Log(line string)                              { i.decide("print", line) }
 
 // simulatorHost hosts the controller instances. They share only the input, the output and the engine lists, which events refer to by
 // number.
@@ -219,7 +221,7 @@
 }
 
 // outcomeByCode maps the simulator's codes for the end of an attempt to outcomes.
-var outcomeByCode = map[string]logic.Outcome{"S": logic.Done, "E": logic.Errored, "F": logic.TurnedAway,
+var outcomeByCode = map[string]logic.Outcome{"S": logic.Done, "E": logic.Errored, "F": logic.Refused,
 	"T": logic.TimedOut, "C": logic.NoConnection, "R": logic.ConnectionLost, "X": logic.Recalled,
 	"N": logic.NotSent}
 
@@ -270,7 +272,7 @@
 			cost = 0
 		}
 		call = func() {
-			target.controller.JobTaken(now, job, class, customer, key, expires, cost, memoryMB, tables, flags&2 != 0, nil)
+			target.controller.JobArrived(now, job, class, customer, key, expires, cost, memoryMB, tables, flags&2 != 0, nil)
 		}
 	case "timed_out_client":
 		job := jobField()
@@ -285,7 +287,7 @@
 	case "signal":
 		job, attempt, engine := jobField(), int(fields.integer(3, "go")), engineField(4)
 		level, topic := fields.float(5, "level"), logic.Topic(fields.integer(6, "topic"))
-		call = func() { target.controller.Noted(now, job, attempt, engine, topic, level) }
+		call = func() { target.controller.NoteReceived(now, job, attempt, engine, topic, level) }
 	case "closed_attempt":
 		job, attempt, engine, outcome := jobField(), int(fields.integer(3, "go")), engineField(4), fields.outcome(5)
 		elapsed, complete, note := fields.duration(6, "wait_time"), fields.boolean(7, "complete"), fields.integer(8, "note")
@@ -293,14 +295,14 @@
 		work, memoryMB := time.Duration(note/4096)*time.Millisecond, float64(note%4096)*4
 		load := fields.load(9, target.columns)
 		call = func() {
-			target.controller.AttemptOver(now, job, attempt, engine, outcome, elapsed, complete, work, memoryMB, load)
+			target.controller.AttemptEnded(now, job, attempt, engine, outcome, elapsed, complete, work, memoryMB, load)
 		}
 	case "whisper":
 		peer, message := logic.PeerID(fields.integer(2, "from")), fields.str(3, "blob")
-		call = func() { target.controller.PeerTold(now, peer, message) }
+		call = func() { target.controller.PeerMessage(now, peer, message) }
 	case "accepted":
 		job, attempt, engine, elapsed := jobField(), int(fields.integer(3, "go")), engineField(4), fields.duration(5, "wait_time")
-		call = func() { target.controller.AnswerBegun(now, job, attempt, engine, elapsed) }
+		call = func() { target.controller.AnswerStarted(now, job, attempt, engine, elapsed) }
 	}
 	if fields.err == nil {
 		call()
@@ -311,8 +313,8 @@
 // applyEngineList passes the engine list that a discovery event refers to on to the controller.
 func (h *simulatorHost) applyEngineList(target *instance, now time.Duration, fields *valueReader) error {
 	mode := fields.str(2, "how")
-	kind, known := map[string]logic.ListKind{"changes": logic.ListChanges, "all": logic.ListWhole,
-		"remembered": logic.ListRemembered, "refused": logic.ListRefused}[mode]
+	kind, known := map[string]logic.ListKind{"changes": logic.ListChanges, "all": logic.ListComplete,
+		"remembered": logic.ListInitial, "refused": logic.ListFailed}[mode]
 	listNumber := fields.integer(4, "list")
 	if fields.err != nil {
 		return fields.err
@@ -321,7 +323,7 @@
 		return fmt.Errorf("field how: %q is not known", mode)
 	}
 	target.controller.ListBegins(now, kind)
-	if kind != logic.ListRefused {
+	if kind != logic.ListFailed {
 		for _, row := range h.engineLists[listNumber] {
 			entry := &valueReader{values: row}
 			id, location, kindName := entry.str(0, "executor"), entry.str(1, "rack_zone"), entry.str(2, "sku")
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -97,7 +97,7 @@
 }
 
 func (p *policy) ListBegins(_ time.Duration, kind logic.ListKind) {
-	p.completeList = kind == logic.ListWhole || kind == logic.ListRemembered
+	p.completeList = kind == logic.ListComplete || kind == logic.ListInitial
 	for _, e := range p.sortedEngines {
 		e.listed = false
 	}
@@ -128,7 +128,7 @@
 	})
 }
 
-func (p *policy) JobTaken(now time.Duration, id logic.JobID, class logic.ClassName, _ logic.CustomerID, _ logic.Key,
+func (p *policy) JobArrived(now time.Duration, id logic.JobID, class logic.ClassName, _ logic.CustomerID, _ logic.Key,
 	expires, _ time.Duration, _ float64, _ logic.Tables, _ bool, placement logic.Placement) {
 	j := &job{class: p.classes[class], expires: min(expires, now+p.classes[class].Deadline), placement: placement}
 	p.jobs[id] = j
@@ -167,7 +167,7 @@
 	}
 }
 
-func (p *policy) AttemptOver(now time.Duration, id logic.JobID, _ int, _ logic.EngineID, outcome logic.Outcome, _ time.Duration,
+func (p *policy) AttemptEnded(now time.Duration, id logic.JobID, _ int, _ logic.EngineID, outcome logic.Outcome, _ time.Duration,
 	jobOver bool, _ time.Duration, _ float64, _ logic.Load) {
 	j := p.jobs[id]
 	if j == nil || j.engine == nil {
@@ -175,7 +175,7 @@
 	}
 	j.engine.inFlight--
 	j.engine = nil
-	neverRan := outcome == logic.TurnedAway || outcome == logic.NoConnection || outcome == logic.NotSent
+	neverRan := outcome == logic.Refused || outcome == logic.NoConnection || outcome == logic.NotSent
 	j.maybeRan = j.maybeRan || !neverRan
 	switch {
 	case jobOver || j.ended || outcome == logic.Done:
@@ -187,7 +187,7 @@
 	}
 }
 
-func (p *policy) Placed(_ time.Duration, id logic.JobID, placement logic.Placement, noEngine bool) {
+func (p *policy) PlacementChanged(_ time.Duration, id logic.JobID, placement logic.Placement, noEngine bool) {
 	if j := p.jobs[id]; j != nil {
 		if j.placement = placement; noEngine && j.engine == nil && !j.ended {
 			p.finish(id, j)
@@ -206,10 +206,10 @@
 	}
 }
 
-// Began allows each attempt to begin.
-func (p *policy) Began(time.Duration, logic.JobID) bool { return true }
+// MayStart allows each attempt to begin.
+func (p *policy) MayStart(time.Duration, logic.JobID) bool { return true }
 
-func (p *policy) Leaving(_, lastExpiry time.Duration) {
+func (p *policy) ShuttingDown(_, lastExpiry time.Duration) {
 	for _, j := range p.jobs {
 		j.expires = min(j.expires, lastExpiry)
 	}
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -14,13 +14,13 @@
 			h.start(nil)
 			h.addEngines("a", "b", "c", "d")
 			for n := range queued {
-				h.c.JobTaken(h.now, JobID(fmt.Sprint("held", n)), "load", "", "key", h.now+time.Hour, 0, 0, 1, false, nil)
+				h.c.JobArrived(h.now, JobID(fmt.Sprint("held", n)), "load", "", "key", h.now+time.Hour, 0, 0, 1, false, nil)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				h.now += 100 * time.Microsecond
-				h.c.JobTaken(h.now, "j", "lookup", "", "", h.now+2*time.Second, 20*ms, 0, 2, false, nil)
-				h.c.AttemptOver(h.now, "j", 0, "a", Done, 20*ms, true, 20*ms, 0, Load{})
+				h.c.JobArrived(h.now, "j", "lookup", "", "", h.now+2*time.Second, 20*ms, 0, 2, false, nil)
+				h.c.AttemptEnded(h.now, "j", 0, "a", Done, 20*ms, true, 20*ms, 0, Load{})
 				h.trace.Reset()
 			}
 		})
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprintf("engines=%d", engineCount), func(b *testing.B) {
 			h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
 			h.start(func(s *Settings) { s.Controllers, s.Number = 300, 7 })
-			h.c.ListBegins(h.now, ListWhole)
+			h.c.ListBegins(h.now, ListComplete)
 			for n := range engineCount {
 				h.c.EngineListed(h.now, EngineID(fmt.Sprintf("e%03d", n)), "here", "k", 0, Up, 1, 0)
 			}
@@ -41,8 +41,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				h.now += 10 * time.Millisecond
-				h.c.JobTaken(h.now, "j", "lookup", "", "", h.now+2*time.Second, 20*ms, 0, 2, false, nil)
-				h.c.AttemptOver(h.now, "j", 0, h.c.list.byID["e000"].id, Done, 20*ms, true, 20*ms, 0, Load{})
+				h.c.JobArrived(h.now, "j", "lookup", "", "", h.now+2*time.Second, 20*ms, 0, 2, false, nil)
+				h.c.AttemptEnded(h.now, "j", 0, h.c.list.byID["e000"].id, Done, 20*ms, true, 20*ms, 0, Load{})
 				h.trace.Reset()
 			}
 		})
--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -12,9 +12,9 @@
 	jobs int
 }
 
-func (e *earnedCounter) Earned(now, taken time.Duration) {
+func (e *earnedCounter) CountJob(now, taken time.Duration) {
 	e.jobs++
-	e.Limits.Earned(now, taken)
+	e.Limits.CountJob(now, taken)
 }
 
 // TestEarned checks that a job counts for the retry budget once, when an engine has received it and not refused it as
@@ -30,7 +30,7 @@
 		{"rejected on arrival", nil, ms, false, 0},
 		{"answered", []Outcome{Done}, 5 * time.Second, false, 1},
 		{"answered at the second attempt", []Outcome{ConnectionLost, Done}, 5 * time.Second, false, 1},
-		{"turned away", []Outcome{TurnedAway}, 5 * time.Second, false, 1},
+		{"turned away", []Outcome{Refused}, 5 * time.Second, false, 1},
 		{"refused by two engines", []Outcome{Errored, Errored}, 5 * time.Second, false, 0},
 		{"refused by one engine", []Outcome{Errored, Done}, 5 * time.Second, false, 1},
 		{"not sent", []Outcome{NotSent}, 5 * time.Second, false, 0},
@@ -38,7 +38,7 @@
 		{"client left", []Outcome{Recalled}, 5 * time.Second, true, 0},
 	} {
 		h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
-		h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFree, s.BudgetShare = 10*time.Second, 2, 0.2 })
+		h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFloor, s.BudgetShare = 10*time.Second, 2, 0.2 })
 		counted := &earnedCounter{Limits: h.c.limits}
 		h.c.limits = counted
 		h.addEngines("a", "b")
@@ -64,17 +64,17 @@
 // TestFloodEarnsNothing checks that jobs rejected on arrival, however many, do not add to the retry budget of others.
 func TestFloodEarnsNothing(t *testing.T) {
 	h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
-	h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFree, s.BudgetShare = 10*time.Second, 1, 0.2 })
+	h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFloor, s.BudgetShare = 10*time.Second, 1, 0.2 })
 	h.addEngines("a", "b")
 	h.learnLatencies("a", 1)
 	for n := range 200 {
 		h.submit(JobID(fmt.Sprint("flood", n)), "lookup", "", ms)
 	}
-	if !h.c.limits.MayRepeat(h.now) {
+	if !h.c.limits.MayRetry(h.now) {
 		t.Error("the retry that is always allowed was refused")
 	}
-	h.c.limits.Repeated(h.now)
-	if h.c.limits.MayRepeat(h.now) {
+	h.c.limits.CountRetry(h.now)
+	if h.c.limits.MayRetry(h.now) {
 		t.Error("rejected jobs added to the retry budget")
 	}
 }
--- a/logic/engines.go
+++ b/logic/engines.go
@@ -72,7 +72,7 @@
 // ListBegins starts an event of the list of engines: a complete list, changes to it, or a failed request for it.
 func (c *Controller) ListBegins(now time.Duration, kind ListKind) {
 	c.now = now
-	c.list.isSnapshot = kind == ListWhole || kind == ListRemembered
+	c.list.isSnapshot = kind == ListComplete || kind == ListInitial
 	if c.list.isSnapshot {
 		for _, e := range c.list.all {
 			e.inSnapshot = false
@@ -80,10 +80,10 @@
 	}
 	// Where the list must be requested, request it at the start and, after a failure, again after a random delay, so
 	// that controllers that failed at the same time do not retry at the same time.
-	if c.settings.ListOnRequest && kind == ListRemembered {
-		c.host.Follow(true)
-	} else if c.settings.ListOnRequest && kind == ListRefused {
-		c.host.WakeAfter(listRetryTimer, time.Duration((0.2+0.8*c.rng.Float64())*float64(time.Second)))
+	if c.settings.ListOnRequest && kind == ListInitial {
+		c.host.FollowList(true)
+	} else if c.settings.ListOnRequest && kind == ListFailed {
+		c.host.StartTimer(listRetryTimer, time.Duration((0.2+0.8*c.rng.Float64())*float64(time.Second)))
 	}
 }
 
@@ -101,8 +101,8 @@
 		// The process was restarted, or takes jobs again: what was learned before is void, and a start counts as a passed
 		// trial.
 		e.startedAt = max(startedAt, e.startedAt)
-		e.coldLimit.Started(e.startedAt)
-		c.host.Suspects(e.id, false)
+		e.coldLimit.SetStart(e.startedAt)
+		c.host.SetSuspected(e.id, false)
 		e.suspected, e.errorRate, e.trialBackoff = false, 0, 0
 		c.resetLimit(e)
 	}
@@ -122,7 +122,7 @@
 		e.cores, e.memoryMB = c.settings.Kinds[kindIndex].Cores, c.settings.Kinds[kindIndex].MemoryMB
 	}
 	e.coldLimit, e.slowness = c.limits.Engine(e.cores), c.settings.Slowness.Engine(location, kind)
-	e.coldLimit.Started(startedAt)
+	e.coldLimit.SetStart(startedAt)
 	c.resetLimit(e)
 	return e
 }
@@ -329,6 +329,6 @@
 
 // resetLimit sets the concurrency limit of an engine whose process has just started or become known.
 func (c *Controller) resetLimit(e *engine) {
-	e.slowness.Anew()
+	e.slowness.Reset()
 	e.limit = e.cores * initialThreadsPerCore / (1 + c.controllerCount) * c.list.coreRatio
 }
--- a/logic/engines_test.go
+++ b/logic/engines_test.go
@@ -20,7 +20,7 @@
 	})
 	order := h.c.settings.Order
 	h.c.settings.Order = func(up []Candidate, size int) []Candidate { *orders++; return order(up, size) }
-	h.c.ListBegins(h.now, ListWhole)
+	h.c.ListBegins(h.now, ListComplete)
 	for n := range engines {
 		kind := KindName("k")
 		if n%100 == 99 {
@@ -56,11 +56,11 @@
 		h.listEngine(engineName(4000+n), Up, h.now)
 		if n%10 == 0 {
 			id := JobID(fmt.Sprint("j", n))
-			h.c.JobTaken(h.now, id, "lookup", "", "", h.now+5*time.Second, 0, 0, 0, false, nil)
+			h.c.JobArrived(h.now, id, "lookup", "", "", h.now+5*time.Second, 0, 0, 0, false, nil)
 			if j := h.c.jobs[id]; j.inFlight == nil || j.inFlight.engine.health != Up {
 				t.Fatalf("after %d changes: job not dispatched, or to an engine that drains: %+v", n, j.inFlight)
 			}
-			h.c.AttemptOver(h.now, id, 0, h.c.jobs[id].inFlight.engine.id, Done, 100*ms, true, 100*ms, 0, Load{})
+			h.c.AttemptEnded(h.now, id, 0, h.c.jobs[id].inFlight.engine.id, Done, 100*ms, true, 100*ms, 0, Load{})
 		}
 	}
 	if orders > 12 { // each ordering takes milliseconds
@@ -120,7 +120,7 @@
 			beyond = e.id
 		}
 	}
-	h.c.JobTaken(h.now, "j", "lookup", "", "", h.now+5*time.Second, 0, 0, 0, false, singleEngine{beyond})
+	h.c.JobArrived(h.now, "j", "lookup", "", "", h.now+5*time.Second, 0, 0, 0, false, singleEngine{beyond})
 	if j := h.c.jobs["j"]; j.inFlight == nil || j.inFlight.engine.id != beyond {
 		t.Errorf("%+v", j.inFlight)
 	}
@@ -132,7 +132,7 @@
 // singleEngine is a placement that allows one engine.
 type singleEngine struct{ id EngineID }
 
-func (o singleEngine) Set() any                                  { return o.id }
-func (o singleEngine) Allows(id EngineID) bool                   { return id == o.id }
-func (o singleEngine) Room() bool                                { return true }
-func (o singleEngine) Further(time.Duration, time.Duration) bool { return true }
+func (o singleEngine) EngineSetKey() any                          { return o.id }
+func (o singleEngine) Allows(id EngineID) bool                    { return id == o.id }
+func (o singleEngine) HasRoom() bool                              { return true }
+func (o singleEngine) MayRetry(time.Duration, time.Duration) bool { return true }
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -45,26 +45,26 @@
 func (h *fakeHost) Reject(j JobID, retryAfter time.Duration) {
 	h.record("reject %s, back in %v", j, retryAfter.Round(ms))
 }
-func (h *fakeHost) Fail(j JobID)                             { h.record("fail %s", j) }
-func (h *fakeHost) WakeAfter(t TimerID, delay time.Duration) { h.timers[t] = h.now + delay }
-func (h *fakeHost) Follow(follow bool)                       { h.record("follow the list: %v", follow) }
-func (h *fakeHost) FetchList()                               { h.record("fetch the list") }
-func (h *fakeHost) Probe(e EngineID)                         { h.record("probe %s", e) }
-func (h *fakeHost) CloseIdle(e EngineID)                     { h.record("close idle %s", e) }
-func (h *fakeHost) TellPeer(p PeerID, m string)              { h.record("tell %d %s", p, m) }
-func (h *fakeHost) Suspects(EngineID, bool)                  {}
-func (h *fakeHost) Log(line string)                          { h.record("log: %s", line) }
+func (h *fakeHost) Fail(j JobID)                              { h.record("fail %s", j) }
+func (h *fakeHost) StartTimer(t TimerID, delay time.Duration) { h.timers[t] = h.now + delay }
+func (h *fakeHost) FollowList(follow bool)                    { h.record("follow the list: %v", follow) }
+func (h *fakeHost) FetchList()                                { h.record("fetch the list") }
+func (h *fakeHost) Probe(e EngineID)                          { h.record("probe %s", e) }
+func (h *fakeHost) CloseIdle(e EngineID)                      { h.record("close idle %s", e) }
+func (h *fakeHost) SendToPeer(p PeerID, m string)             { h.record("tell %d %s", p, m) }
+func (h *fakeHost) SetSuspected(EngineID, bool)               {}
+func (h *fakeHost) Log(line string)                           { h.record("log: %s", line) }
 
 // start creates a controller with default settings, to which modify, if not nil, is applied.
 func (h *fakeHost) start(modify func(*Settings)) {
 	s := Settings{Controllers: 1, Location: "here", MayRecall: true, MaxAttempts: 4, Tick: 5 * ms,
-		MaxComeBack: time.Second, StartCapacity: 0.25, Cold: 10 * time.Second, FallMultiple: 3,
-		Fall: 2 * time.Second, KeyQuiet: 300 * ms, OverShareValue: 0.2,
+		MaxRetryAfter: time.Second, StartCapacity: 0.25, ColdPeriod: 10 * time.Second, CollapseMultiple: 3,
+		CollapsePeriod: 2 * time.Second, KeyQuietPeriod: 300 * ms, OverShareValue: 0.2,
 		Kinds: []EngineKind{{Name: "k", Cores: 4, MemoryMB: 8192}},
 		Classes: []Class{
-			{Name: "lookup", LatencyTarget: time.Second, Deadline: 5 * time.Second, Value: 1, Threads: 1, StandsBy: true},
+			{Name: "lookup", LatencyTarget: time.Second, Deadline: 5 * time.Second, Value: 1, Threads: 1, BlockedByLoads: true},
 			{Name: "load", LatencyTarget: 3 * time.Second, Deadline: 20 * time.Second, Value: 4, LateValue: 0.5,
-				Repeat: Keyed, Window: 4 * time.Second, Ordered: true, Threads: 2, HoldsLoad: true},
+				Repeat: Keyed, DedupWindow: 4 * time.Second, Ordered: true, Threads: 2, HoldsTables: true},
 			{Name: "report", LatencyTarget: 2 * time.Second, Deadline: 20 * time.Second, Value: 3, LateValue: 0.4,
 				Threads: 4},
 			{Name: "once", LatencyTarget: 2 * time.Second, Deadline: 9 * time.Second, Value: 1, LateValue: 0.4,
@@ -78,8 +78,8 @@
 		return slices.Concat(up[at:], up[:at])
 	}
 	s.Limits = limitsAdapter{limit.New(limit.Settings{Controllers: s.Controllers, Number: s.Number,
-		BudgetWindow: s.BudgetWindow, BudgetFree: s.BudgetFree, BudgetShare: s.BudgetShare,
-		StartCapacity: s.StartCapacity, Cold: s.Cold, FallMultiple: s.FallMultiple, Fall: s.Fall})}
+		BudgetWindow: s.BudgetWindow, BudgetFree: s.BudgetFloor, BudgetShare: s.BudgetShare,
+		StartCapacity: s.StartCapacity, Cold: s.ColdPeriod, FallMultiple: s.CollapseMultiple, Fall: s.CollapsePeriod})}
 	s.Limits.(limitsAdapter).Limits.Within(0, "") // the limits' time starts here, as if the process had run for some time
 	s.Slowness = slownessAdapter{thin.New()}
 	h.c = New(h, s, 1)
@@ -95,8 +95,8 @@
 // limitsAdapter adapts decide/limit to Limits, with no limit on customers' shares.
 type limitsAdapter struct{ *limit.Limits }
 
-func (l limitsAdapter) Within(time.Duration, CustomerID) bool { return true }
-func (l limitsAdapter) Engine(cores float64) EngineLimit      { return l.Limits.Engine(cores) }
+func (l limitsAdapter) TakeCustomerShare(time.Duration, CustomerID) bool { return true }
+func (l limitsAdapter) Engine(cores float64) EngineLimit                 { return l.Limits.Engine(cores) }
 
 // addEngines lists engines that take jobs and started long ago.
 func (h *fakeHost) addEngines(engines ...EngineID) {
@@ -115,13 +115,13 @@
 // submit has a job arrive whose client waits for so long.
 func (h *fakeHost) submit(id JobID, name ClassName, key Key, timeout time.Duration) {
 	h.record("- %s taken (%s)", id, name)
-	h.c.JobTaken(h.now, id, name, "", key, h.now+timeout, 0, 0, 1, false, nil)
+	h.c.JobArrived(h.now, id, name, "", key, h.now+timeout, 0, 0, 1, false, nil)
 }
 
 // endAttempt ends an attempt of a job after 100 ms.
 func (h *fakeHost) endAttempt(id JobID, n int, e EngineID, o Outcome) {
 	h.record("- %s attempt %d %v", id, n, o)
-	h.c.AttemptOver(h.now, id, n, e, o, 100*ms, o == Done, 0, 0, Load{})
+	h.c.AttemptEnded(h.now, id, n, e, o, 100*ms, o == Done, 0, 0, Load{})
 }
 
 // fillEngine leaves an engine no room, with one wide job and a limit of the same width.
--- a/logic/host.go
+++ b/logic/host.go
@@ -47,20 +47,20 @@
 	Reject(job JobID, retryAfter time.Duration)
 	// Fail answers the client that the job failed. It may have run.
 	Fail(job JobID)
-	// WakeAfter calls Module.TimerDue after a delay.
-	WakeAfter(timer TimerID, delay time.Duration)
-	// Follow requests the list of engines and all changes to it from discovery, or ends that.
-	Follow(follow bool)
+	// StartTimer calls Module.TimerDue after a delay.
+	StartTimer(timer TimerID, delay time.Duration)
+	// FollowList requests the list of engines and all changes to it from discovery, or ends that.
+	FollowList(follow bool)
 	// FetchList requests a complete list of engines.
 	FetchList()
 	// Probe sends an engine a probe, whose result comes with Module.ProbeAnswered.
 	Probe(engine EngineID)
 	// CloseIdle closes the idle connections to an engine.
 	CloseIdle(engine EngineID)
-	// TellPeer sends another controller a message.
-	TellPeer(peer PeerID, message string)
-	// Suspects reports that an engine is suspected to have failed, or no longer is.
-	Suspects(engine EngineID, suspected bool)
+	// SendToPeer sends another controller a message.
+	SendToPeer(peer PeerID, message string)
+	// SetSuspected reports that an engine is suspected to have failed, or no longer is.
+	SetSuspected(engine EngineID, suspected bool)
 	// Log logs a line for operators.
 	Log(line string)
 }
@@ -74,26 +74,26 @@
 	EngineListed(now time.Duration, id EngineID, location Location, kind KindName, cell Cell, health Health,
 		weight float64, startedAt time.Duration)
 	ListEnds(now time.Duration)
-	// JobTaken reports a job that has arrived. expires is the latest time of its answer. declaredCost is the thread time
+	// JobArrived reports a job that has arrived. expires is the latest time of its answer. declaredCost is the thread time
 	// and memoryMB the memory that the client declares, or 0. repeat says that the client has sent the job before.
-	JobTaken(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
+	JobArrived(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
 		expires, declaredCost time.Duration, memoryMB float64, tables Tables, repeat bool, placement Placement)
-	// Placed reports that a job's placement has changed; noneLeft says that the job has no engine left.
-	Placed(now time.Duration, id JobID, placement Placement, noneLeft bool)
+	// PlacementChanged reports that a job's placement has changed; noneLeft says that the job has no engine left.
+	PlacementChanged(now time.Duration, id JobID, placement Placement, noneLeft bool)
 	// ClientGone reports that a job's client has left.
 	ClientGone(now time.Duration, id JobID)
-	// Began reports that a job's attempt, which had waited for a connection after it was decided, is about to be sent. It
+	// MayStart reports that a job's attempt, which had waited for a connection after it was decided, is about to be sent. It
 	// returns false if the attempt must not be sent any more; the host then reports it as NotSent. It may be called from
 	// within Host.Attempt.
-	Began(now time.Duration, id JobID) bool
-	// Leaving reports that the process is shutting down. All jobs are answered before exitBy.
-	Leaving(now, exitBy time.Duration)
-	// AttemptOver reports the end of an attempt, counted from 0 for each job. latency is how long it took. jobOver says
+	MayStart(now time.Duration, id JobID) bool
+	// ShuttingDown reports that the process is shutting down. All jobs are answered before exitBy.
+	ShuttingDown(now, exitBy time.Duration)
+	// AttemptEnded reports the end of an attempt, counted from 0 for each job. latency is how long it took. jobOver says
 	// that the job has its final answer; work is the thread time and memoryMB the memory that the engine says that the
 	// job needed, or 0.
-	AttemptOver(now time.Duration, id JobID, attempt int, engine EngineID, outcome Outcome, latency time.Duration,
+	AttemptEnded(now time.Duration, id JobID, attempt int, engine EngineID, outcome Outcome, latency time.Duration,
 		jobOver bool, work time.Duration, memoryMB float64, load Load)
-	// TimerDue reports that the delay of Host.WakeAfter has passed.
+	// TimerDue reports that the delay of Host.StartTimer has passed.
 	TimerDue(now time.Duration, timer TimerID)
 	// ProbeAnswered reports the result of Host.Probe.
 	ProbeAnswered(now time.Duration, engine EngineID, outcome Outcome, latency time.Duration, load Load)
@@ -102,30 +102,30 @@
 // Placement restricts a job's engines further than the rules do; it never permits what a rule forbids. A job without
 // room holds back only later jobs of the same set of engines.
 type Placement interface {
-	// Set identifies the set of engines: equal for the same set, nil for all engines.
-	Set() any
+	// EngineSetKey identifies the set of engines: equal for the same set, nil for all engines.
+	EngineSetKey() any
 	// Allows reports whether the engine is in the set.
 	Allows(engine EngineID) bool
-	// Room reports whether a job of this placement may be dispatched now.
-	Room() bool
-	// Further reports whether a job may be retried. sinceFirst is the time since the first of its attempts that may have
+	// HasRoom reports whether a job of this placement may be dispatched now.
+	HasRoom() bool
+	// MayRetry reports whether a job may be retried. sinceFirst is the time since the first of its attempts that may have
 	// run was sent, or 0, and sinceLast is the time since its last attempt ended.
-	Further(sinceFirst, sinceLast time.Duration) bool
+	MayRetry(sinceFirst, sinceLast time.Duration) bool
 }
 
 // Limits are the quotas that a controller keeps without talking to others, among them those of rule 4 (cold engines) and
 // rule 7 (retry budget). Package decide/limit implements it.
 type Limits interface {
-	// Earned counts a job, as part of the base that the retry budget is a share of.
-	Earned(now, arrivedAt time.Duration)
-	// Within takes one job from the customer's share and reports whether the share had room for it.
-	Within(now time.Duration, customer CustomerID) bool
-	// MayRepeat reports whether the retry budget allows another retry.
-	MayRepeat(now time.Duration) bool
-	// Repeated counts a retry that was decided now.
-	Repeated(now time.Duration)
-	// Began reports whether a retry that was decided earlier may be sent now, and if so counts it at this time instead.
-	Began(decided, now time.Duration) bool
+	// CountJob counts a job, as part of the base that the retry budget is a share of.
+	CountJob(now, arrivedAt time.Duration)
+	// TakeCustomerShare takes one job from the customer's share and reports whether the share had room for it.
+	TakeCustomerShare(now time.Duration, customer CustomerID) bool
+	// MayRetry reports whether the retry budget allows another retry.
+	MayRetry(now time.Duration) bool
+	// CountRetry counts a retry that was decided now.
+	CountRetry(now time.Duration)
+	// MayStartRetry reports whether a retry that was decided earlier may be sent now, and if so counts it at this time instead.
+	MayStartRetry(decided, now time.Duration) bool
 	// Engine returns the limit for a newly listed engine.
 	Engine(cores float64) EngineLimit
 }
@@ -139,25 +139,25 @@
 
 // EngineSlowness estimates the slowness of one engine: its latency over the best latency, 1 or more.
 type EngineSlowness interface {
-	// Answered adds the slowness of one answer.
-	Answered(now time.Duration, slowness float64)
-	// Anew drops the engine's own answers, as its process has restarted.
-	Anew()
-	// Slow returns the estimate, or 0 before any answer of any engine was seen.
-	Slow(now time.Duration) float64
+	// Add adds the slowness of one answer.
+	Add(now time.Duration, slowness float64)
+	// Reset drops the engine's own answers, as its process has restarted.
+	Reset()
+	// Estimate returns the estimate, or 0 before any answer of any engine was seen.
+	Estimate(now time.Duration) float64
 }
 
 // EngineLimit limits the work of one engine while it is cold, which means that its process has started recently.
 type EngineLimit interface {
-	// Started sets when the engine's process started, 0 for long ago.
-	Started(startedAt time.Duration)
+	// SetStart sets when the engine's process started, 0 for long ago.
+	SetStart(startedAt time.Duration)
 	// Cold reports whether the engine is cold.
 	Cold(now time.Duration) bool
 	// Allows reports whether a job of so much thread time may be sent. share is the fraction of all controllers that have
 	// the engine in their subset.
 	Allows(now, work time.Duration, share float64) bool
-	// Sent counts a job that was sent.
-	Sent(now, work time.Duration, share float64)
+	// CountWork counts a job that was sent.
+	CountWork(now, work time.Duration, share float64)
 }
 
 // Outcome is how an attempt ended.
@@ -166,12 +166,12 @@
 const (
 	Done           Outcome = iota // the engine answered
 	Errored                       // the engine answered with an error
-	TurnedAway                    // the engine refused the job, which did not run
+	Refused                       // the engine refused the job, which did not run
 	TimedOut                      // no answer before the timeout
 	NoConnection                  // the engine could not be connected to, so the job did not run
 	ConnectionLost                // the connection was lost before the answer, and the job may have run
 	Recalled                      // cancelled by the controller
-	NotSent                       // not sent in time, or Module.Began did not allow it
+	NotSent                       // not sent in time, or Module.MayStart did not allow it
 )
 
 // String returns the outcome as it is written to logs and traces.
@@ -184,10 +184,10 @@
 type ListKind int
 
 const (
-	ListChanges    ListKind = iota // engines that have changed
-	ListWhole                      // the complete list
-	ListRemembered                 // a complete list known at the start, before discovery has answered
-	ListRefused                    // a request for the list failed
+	ListChanges  ListKind = iota // engines that have changed
+	ListComplete                 // the complete list
+	ListInitial                  // a complete list known at the start, before discovery has answered
+	ListFailed                   // a request for the list failed
 )
 
 // Health is the state of an engine in the list.
@@ -218,7 +218,7 @@
 
 const (
 	Idempotent    Repeat = iota // at any time, to any engine
-	Keyed                       // within Class.Window, to engines of Class.Group, which drop repeats by the job's key
+	Keyed                       // within Class.DedupWindow, to engines of Class.Group, which drop repeats by the job's key
 	NonIdempotent               // never
 )
 
@@ -240,21 +240,21 @@
 
 // Class has the settings of a class of jobs.
 type Class struct {
-	Name          ClassName
-	LatencyTarget time.Duration // an answer earns its full value until this long after arrival, plus the stretch
-	TargetStretch float64       // added to the latency target, times the job's thread time per thread
-	Deadline      time.Duration // after arrival
-	Value         float64       // of an answer before the latency target
-	LateValue     float64       // of an answer after it; 0 if such an answer is worthless
-	Repeat        Repeat
-	Group         Group         // for Keyed
-	Window        time.Duration // for Keyed: how long after the first attempt that may have run the job may be sent again
-	Ordered       bool          // rule 5: jobs of one key run one after the other, in order of arrival
-	Locations     []Location    // rule 6: the only ones allowed; empty for all
-	Kinds         []KindName    // rule 6: the only ones allowed; empty for all
-	Threads       float64       // threads that a job uses
-	HoldsLoad     bool          // a load, which holds its tables while it runs
-	StandsBy      bool          // waits while a load holds one of its tables
+	Name           ClassName
+	LatencyTarget  time.Duration // an answer earns its full value until this long after arrival, plus the stretch
+	TargetStretch  float64       // added to the latency target, times the job's thread time per thread
+	Deadline       time.Duration // after arrival
+	Value          float64       // of an answer before the latency target
+	LateValue      float64       // of an answer after it; 0 if such an answer is worthless
+	Repeat         Repeat
+	Group          Group         // for Keyed
+	DedupWindow    time.Duration // for Keyed: how long after the first attempt that may have run the job may be sent again
+	Ordered        bool          // rule 5: jobs of one key run one after the other, in order of arrival
+	Locations      []Location    // rule 6: the only ones allowed; empty for all
+	Kinds          []KindName    // rule 6: the only ones allowed; empty for all
+	Threads        float64       // threads that a job uses
+	HoldsTables    bool          // a load, which holds its tables while it runs
+	BlockedByLoads bool          // waits while a load holds one of its tables
 }
 
 // EngineKind is a type of machine that engines run on.
@@ -266,37 +266,37 @@
 
 // Customer has a share of the fleet's jobs.
 type Customer struct {
-	Name     CustomerID
-	JobsPerS float64 // jobs per second over all controllers, 0 for no limit
+	Name          CustomerID
+	JobsPerSecond float64 // jobs per second over all controllers, 0 for no limit
 }
 
 // Settings are the settings of a Controller, fixed at its start. A limit of zero is off, unless its comment says
 // otherwise.
 type Settings struct {
-	Controllers    int // in the fleet
-	Number         int // of this controller, from 0
-	Location       Location
-	Classes        []Class
-	Kinds          []EngineKind
-	Customers      []Customer    // read by Limits only, as are the settings of the retry budget and of cold engines
-	OverShareValue float64       // factor on the value of jobs beyond their customer's share
-	ListOnRequest  bool          // discovery sends the list only on request
-	MayRecall      bool          // attempts may be cancelled
-	GrantsCount    bool          // engines heed memory grants
-	PriorityHeeded bool          // engines heed priorities
-	GrantShare     float64       // largest grant, as a share of an engine's memory
-	OverGrantsPage bool          // an engine out of memory swaps
-	MaxAttempts    int           // attempts per job; 1 or less allows no retry
-	MaxComeBack    time.Duration // longest delay that a rejected client is advised to wait; 0 advises none
-	Tick           time.Duration // resolution of the clock
-	StartCapacity  float64       // capacity of an engine as it starts, over its full one
-	Cold           time.Duration // time after its start until an engine has its full capacity
-	FallMultiple   float64       // multiple of its capacity at which an engine collapses
-	Fall           time.Duration // time within which that much work has to arrive
-	KeyQuiet       time.Duration // delay before the next job of a key after an attempt that may still be running
-	BudgetWindow   time.Duration // period that the retry budget covers
-	BudgetFree     float64       // retries per window that are always allowed
-	BudgetShare    float64       // further retries, as a share of the jobs in the window
+	Controllers      int // in the fleet
+	Number           int // of this controller, from 0
+	Location         Location
+	Classes          []Class
+	Kinds            []EngineKind
+	Customers        []Customer    // read by Limits only, as are the settings of the retry budget and of cold engines
+	OverShareValue   float64       // factor on the value of jobs beyond their customer's share
+	ListOnRequest    bool          // discovery sends the list only on request
+	MayRecall        bool          // attempts may be cancelled
+	GrantsHeeded     bool          // engines heed memory grants
+	PriorityHeeded   bool          // engines heed priorities
+	GrantShare       float64       // largest grant, as a share of an engine's memory
+	SwapsWhenFull    bool          // an engine out of memory swaps
+	MaxAttempts      int           // attempts per job; 1 or less allows no retry
+	MaxRetryAfter    time.Duration // longest delay that a rejected client is advised to wait; 0 advises none
+	Tick             time.Duration // resolution of the clock
+	StartCapacity    float64       // capacity of an engine as it starts, over its full one
+	ColdPeriod       time.Duration // time after its start until an engine has its full capacity
+	CollapseMultiple float64       // multiple of its capacity at which an engine collapses
+	CollapsePeriod   time.Duration // time within which that much work has to arrive
+	KeyQuietPeriod   time.Duration // delay before the next job of a key after an attempt that may still be running
+	BudgetWindow     time.Duration // period that the retry budget covers
+	BudgetFloor      float64       // retries per window that are always allowed
+	BudgetShare      float64       // further retries, as a share of the jobs in the window
 	// Order sorts the engines into the order of preference in which this controller takes its subset, where each
 	// controller of the fleet gets a subset of so many. It may reuse the slice. nil keeps the order.
 	Order func(up []Candidate, size int) []Candidate
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -143,10 +143,10 @@
 	return c
 }
 
-// JobTaken queues a job that has just arrived, and dispatches what can be dispatched. The job is rejected at once if
+// JobArrived queues a job that has just arrived, and dispatches what can be dispatched. The job is rejected at once if
 // it can not meet its deadline. expires is the latest time of the answer. declaredCost is the thread time that the client
 // declares, and memoryMB the memory, each 0 if it declares none. placement restricts the job's engines, or is nil.
-func (c *Controller) JobTaken(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
+func (c *Controller) JobArrived(now time.Duration, id JobID, className ClassName, customer CustomerID, key Key,
 	expires, declaredCost time.Duration, memoryMB float64, tables Tables, repeat bool, placement Placement) {
 	c.now = now
 	jobClass := c.classes[className]
@@ -164,7 +164,7 @@
 		c.keyQueues[key] = j.keyQueue
 		j.keyQueue.jobs = append(j.keyQueue.jobs, j)
 	}
-	j.overShare = !c.limits.Within(now, customer)
+	j.overShare = !c.limits.TakeCustomerShare(now, customer)
 	if c.enqueue(j); c.tooLate(j) {
 		c.rejectOrFail(j)
 		return
@@ -172,7 +172,7 @@
 	c.dispatchQueued()
 	c.shedLoad(j)
 	if !c.sweepScheduled {
-		c.host.WakeAfter(sweepTimer, sweepInterval)
+		c.host.StartTimer(sweepTimer, sweepInterval)
 	}
 	c.sweepScheduled = true
 }
@@ -222,7 +222,7 @@
 	if j.overShare {
 		j.valueDensity *= c.settings.OverShareValue
 	}
-	if j.keyQueue != nil && j.keyQueue.jobs[0] != j || j.placement != nil && !j.placement.Room() {
+	if j.keyQueue != nil && j.keyQueue.jobs[0] != j || j.placement != nil && !j.placement.HasRoom() {
 		j.backlogThreadNs = 0
 	}
 	c.backlogThreadNs += j.backlogThreadNs
@@ -283,7 +283,7 @@
 			}
 			if selected, waits = c.selectEngine(j, coldOnly); selected != nil {
 				return true
-			} else if firstUnordered && !waits && (j.placement == nil || j.placement.Room()) {
+			} else if firstUnordered && !waits && (j.placement == nil || j.placement.HasRoom()) {
 				blocked = append(blocked, j)
 			} else if waits && j.engineSet != nil && c.hasRoomFor(j.class.Threads) {
 				fullSets, waits = append(fullSets, j.engineSet), false // engines outside of the set may have room
@@ -412,7 +412,7 @@
 	// loses its weight over about a second.
 	score := c.rng.Float64()/4 - 2*(e.memoryGranted-c.memoryGranted.value)*math.Exp(e.memoryReportedAtS-c.now.Seconds())
 	if c.slowness.value > 0 {
-		score -= e.slowness.Slow(c.now) / c.slowness.value
+		score -= e.slowness.Estimate(c.now) / c.slowness.value
 	}
 	if e.location == c.settings.Location {
 		score += 0.5 // another location costs little, so this decides only between nearly equal engines
@@ -421,7 +421,7 @@
 		score -= e.cores // an earlier attempt failed or stalled there
 	}
 	for _, other := range e.inFlight {
-		if other.class.HoldsLoad && other.tables == j.tables && (j.class.StandsBy || j.class.HoldsLoad) {
+		if other.class.HoldsTables && other.tables == j.tables && (j.class.BlockedByLoads || j.class.HoldsTables) {
 			score -= e.cores // it would block on tables that a load holds there
 		}
 	}
@@ -436,7 +436,7 @@
 	if j.keyQueue != nil && (j.keyQueue.jobs[0] != j || j.attemptCount == 0 && c.now < j.keyQueue.quietUntil) {
 		return false
 	}
-	return (j.placement == nil || j.placement.Room()) &&
+	return (j.placement == nil || j.placement.HasRoom()) &&
 		(j.attemptCount == 0 || j.attemptCount < c.settings.MaxAttempts && c.mayRetry(j))
 }
 
@@ -446,8 +446,8 @@
 	if len(j.maybeExecuted) > 0 {
 		firstSentAt = j.maybeExecuted[0].sentAt
 	}
-	return c.limits.MayRepeat(c.now) &&
-		(j.placement == nil || j.placement.Further(c.now-firstSentAt, c.now-j.lastAttemptEndedAt))
+	return c.limits.MayRetry(c.now) &&
+		(j.placement == nil || j.placement.MayRetry(c.now-firstSentAt, c.now-j.lastAttemptEndedAt))
 }
 
 // setPlacement restricts the engines of a job, and makes some of them candidates if none is.
@@ -455,7 +455,7 @@
 	if j.placement, j.engineSet = placement, nil; placement == nil {
 		return
 	}
-	j.engineSet = placement.Set()
+	j.engineSet = placement.EngineSetKey()
 	allows := func(e *engine) bool { return e.health == Up && placement.Allows(e.id) }
 	if !slices.ContainsFunc(c.candidates, allows) {
 		c.addCandidates(allows)
@@ -487,7 +487,7 @@
 	if j.class.Repeat != Keyed || len(j.maybeExecuted) == 0 {
 		return math.MaxInt64
 	}
-	return j.maybeExecuted[0].sentAt + j.class.Window - c.settings.Tick
+	return j.maybeExecuted[0].sentAt + j.class.DedupWindow - c.settings.Tick
 }
 
 // subsetShare returns the fraction of all controllers that have the engine in their subset, by its cores, or 0 if it is
@@ -512,7 +512,7 @@
 	started.location, started.cell = e.location, e.cell
 	c.setTerms(j, e)
 	if j.attemptCount > 0 {
-		c.limits.Repeated(c.now)
+		c.limits.CountRetry(c.now)
 	}
 	j.attemptCount++
 	j.inFlight = started
@@ -520,7 +520,7 @@
 	j.maybeExecuted = append(j.maybeExecuted, started)
 	e.inFlight = append(e.inFlight, j)
 	e.busyThreads += j.class.Threads
-	e.coldLimit.Sent(c.now, c.typicalWork(j), c.subsetShare(e))
+	e.coldLimit.CountWork(c.now, c.typicalWork(j), c.subsetShare(e))
 	e.nextTrialAt = c.now + e.trialBackoff // read only while suspected
 	answerBy := j.deadline
 	if j.class.LateValue == 0 {
@@ -535,11 +535,11 @@
 // only the memory that jobs need counts, so a generous grant costs nothing and avoids spills. Elsewhere the grant stays
 // near the need.
 func (c *Controller) setTerms(j *job, e *engine) {
-	if j.declaredMemoryMB <= 0 || !c.settings.GrantsCount {
+	if j.declaredMemoryMB <= 0 || !c.settings.GrantsHeeded {
 		return
 	}
 	grantMB := j.declaredMemoryMB * cmp.Or(j.class.memoryRatio.value, 1) * 1.25
-	if c.settings.OverGrantsPage {
+	if c.settings.SwapsWhenFull {
 		grantMB *= 1.28
 	}
 	grantMB = math.Min(grantMB, cmp.Or(c.settings.GrantShare*e.memoryMB, grantMB))
@@ -550,9 +550,9 @@
 	c.host.SetTerms(j.id, grantMB, priority)
 }
 
-// AttemptOver handles the end of a job's attempt. jobOver says that the job has its final answer. work is the thread time
+// AttemptEnded handles the end of a job's attempt. jobOver says that the job has its final answer. work is the thread time
 // and memoryMB the memory that the engine reported, or 0.
-func (c *Controller) AttemptOver(now time.Duration, id JobID, attemptIndex int, engineID EngineID, outcome Outcome,
+func (c *Controller) AttemptEnded(now time.Duration, id JobID, attemptIndex int, engineID EngineID, outcome Outcome,
 	latency time.Duration, jobOver bool, work time.Duration, memoryMB float64, load Load) {
 	c.now = now
 	j := c.jobs[id]
@@ -563,11 +563,11 @@
 	j.inFlight, j.lastAttemptEndedAt = nil, now
 	e.inFlight = without(e.inFlight, j)
 	e.busyThreads -= j.class.Threads
-	if outcome == TurnedAway || outcome == NoConnection || outcome == NotSent { // these prove that the job did not run
+	if outcome == Refused || outcome == NoConnection || outcome == NotSent { // these prove that the job did not run
 		j.maybeExecuted = j.maybeExecuted[:len(j.maybeExecuted)-1]
 	}
 	if j.keyQueue != nil && (outcome == TimedOut || outcome == ConnectionLost || outcome == Recalled) {
-		j.keyQueue.quietUntil = now + c.settings.KeyQuiet
+		j.keyQueue.quietUntil = now + c.settings.KeyQuietPeriod
 	}
 	if load.MemoryGranted > 0 {
 		e.memoryGranted, e.memoryReportedAtS = load.MemoryGranted, now.Seconds()
@@ -592,10 +592,10 @@
 	c.dispatchQueued()
 }
 
-// Began checks rule 7 (retry budget) again for a retry that waited for a connection after it was decided.
-func (c *Controller) Began(now time.Duration, id JobID) bool {
+// MayStart checks rule 7 (retry budget) again for a retry that waited for a connection after it was decided.
+func (c *Controller) MayStart(now time.Duration, id JobID) bool {
 	j := c.jobs[id]
-	return j == nil || j.inFlight == nil || j.attemptCount < 2 || c.limits.Began(j.inFlight.sentAt, now)
+	return j == nil || j.inFlight == nil || j.attemptCount < 2 || c.limits.MayStartRetry(j.inFlight.sentAt, now)
 }
 
 // earnRetryCredit adds a job to the base of the retry budget, once, when an engine has received it and not refused it as
@@ -605,7 +605,7 @@
 		return
 	}
 	j.earnedRetryCredit = true
-	c.limits.Earned(c.now, j.arrivedAt)
+	c.limits.CountJob(c.now, j.arrivedAt)
 }
 
 // hasRetryTarget reports whether the job has attempts left and an engine that the rules allow it, among the candidates or
@@ -623,7 +623,7 @@
 		e.lastAnswerAt, e.unansweredCount, e.errorRate = c.now, 0, e.errorRate*0.8
 		if e.suspected {
 			e.suspected, e.trialBackoff, e.errorRate = false, 0, 0
-			c.host.Suspects(e.id, false)
+			c.host.SetSuspected(e.id, false)
 			c.host.Log(fmt.Sprintf("engine %s answers again", e.id))
 		}
 	case Errored, ConnectionLost:
@@ -651,7 +651,7 @@
 // at 250 ms and doubles with each failed trial, up to 4 s.
 func (c *Controller) suspect(e *engine, reason string) {
 	if !e.suspected {
-		c.host.Suspects(e.id, true)
+		c.host.SetSuspected(e.id, true)
 		c.host.Log(fmt.Sprintf("engine %s suspected: %s", e.id, reason))
 		e.trialBackoff = 250 * time.Millisecond
 	} else if c.now < e.nextTrialAt-e.trialBackoff/2 && len(e.inFlight) > 0 {
@@ -755,10 +755,10 @@
 		return step * math.Min(j.class.Threads/math.Max(limit, 1)/limit, 0.25)
 	}
 	slowness = math.Max(slowness, math.Min(targetSlowness*memoryGranted/1.25, maxSlowness))
-	e.slowness.Answered(c.now, slowness)
+	e.slowness.Add(c.now, slowness)
 	c.slowness.add(slowness, 10)
 	c.updateTotals()
-	e.limit *= 1 + adjustment(e.slowness.Slow(c.now), e.limit, e.busyThreads+j.class.Threads+1 >= e.allocatedLimit)
+	e.limit *= 1 + adjustment(e.slowness.Estimate(c.now), e.limit, e.busyThreads+j.class.Threads+1 >= e.allocatedLimit)
 	fleetFactor := 1 + adjustment(fleetSlownessFactor*c.slowness.value, c.usableLimit,
 		c.busyThreads+j.class.Threads/2 >= c.usableLimit)
 	currentMaxPerCore := maxPerCore + (quickMaxPerCore-maxPerCore)*math.Max(0, math.Min(1, (1.3-c.slowness.value)/0.3))
@@ -779,7 +779,7 @@
 		// The client is advised to wait for the time that the queued work takes, and up to as much again at random, as
 		// all clients would otherwise retry at the same time.
 		retryAfter := c.backlogSeconds(j) * (1 + c.rng.Float64()) * float64(time.Second)
-		c.host.Reject(j.id, min(c.settings.MaxComeBack, time.Duration(retryAfter)))
+		c.host.Reject(j.id, min(c.settings.MaxRetryAfter, time.Duration(retryAfter)))
 	} else {
 		c.host.Fail(j.id)
 	}
@@ -806,18 +806,18 @@
 	}
 }
 
-// Leaving handles the shutdown of the process. It caps all deadlines at exitBy, so that no job is dispatched that can
+// ShuttingDown handles the shutdown of the process. It caps all deadlines at exitBy, so that no job is dispatched that can
 // not be answered by then.
-func (c *Controller) Leaving(now, exitBy time.Duration) {
+func (c *Controller) ShuttingDown(now, exitBy time.Duration) {
 	c.now = now
 	for _, j := range c.jobs {
 		j.deadline = min(j.deadline, exitBy)
 	}
 }
 
-// Placed replaces a job's placement. A queued job gets its final answer at once if noneLeft says that no engine is left
+// PlacementChanged replaces a job's placement. A queued job gets its final answer at once if noneLeft says that no engine is left
 // for it, or if it may have run and no engine may take it again.
-func (c *Controller) Placed(now time.Duration, id JobID, placement Placement, noneLeft bool) {
+func (c *Controller) PlacementChanged(now time.Duration, id JobID, placement Placement, noneLeft bool) {
 	if j := c.jobs[id]; j != nil {
 		c.now = now
 		c.setPlacement(j, placement)
@@ -893,10 +893,10 @@
 	}
 }
 
-// TimerDue handles a timer that was set with Host.WakeAfter.
+// TimerDue handles a timer that was set with Host.StartTimer.
 func (c *Controller) TimerDue(now time.Duration, timer TimerID) {
 	if c.now = now; timer == listRetryTimer {
-		c.host.Follow(true)
+		c.host.FollowList(true)
 		return
 	}
 	// Queued jobs that are out of time are rejected, and jobs in flight are checked for stalls. A keyed job that may have
@@ -916,7 +916,7 @@
 	}
 	c.dispatchQueued()
 	if c.sweepScheduled = len(c.jobs) > 0; c.sweepScheduled {
-		c.host.WakeAfter(sweepTimer, sweepInterval)
+		c.host.StartTimer(sweepTimer, sweepInterval)
 	}
 }
 
@@ -947,15 +947,15 @@
 	return c.now-current.sentAt > 3*expected+min(300*time.Millisecond, c.minLatencyTarget*3/5)
 }
 
-// Noted records the progress that an engine reports of an attempt. level is the fraction that is done.
-func (c *Controller) Noted(now time.Duration, id JobID, attemptIndex int, engineID EngineID, topic Topic, level float64) {
+// NoteReceived records the progress that an engine reports of an attempt. level is the fraction that is done.
+func (c *Controller) NoteReceived(now time.Duration, id JobID, attemptIndex int, engineID EngineID, topic Topic, level float64) {
 	if j := c.jobs[id]; j != nil && j.inFlight != nil && attemptIndex == j.attemptCount-1 && topic == Progress {
 		j.inFlight.progress, j.inFlight.progressAt = level, now
 	}
 }
 
-// AnswerBegun records that the answer of an attempt has started to arrive, after which it is not recalled.
-func (c *Controller) AnswerBegun(now time.Duration, id JobID, attemptIndex int, engineID EngineID, latency time.Duration) {
+// AnswerStarted records that the answer of an attempt has started to arrive, after which it is not recalled.
+func (c *Controller) AnswerStarted(now time.Duration, id JobID, attemptIndex int, engineID EngineID, latency time.Duration) {
 	if j := c.jobs[id]; j != nil && j.inFlight != nil && attemptIndex == j.attemptCount-1 {
 		j.inFlight.answerStarted = true
 	}
@@ -964,5 +964,5 @@
 // ProbeAnswered does nothing: the Controller sends no probes, as answers tell as much and cost nothing.
 func (c *Controller) ProbeAnswered(time.Duration, EngineID, Outcome, time.Duration, Load) {}
 
-// PeerTold does nothing: controllers send each other no messages.
-func (c *Controller) PeerTold(now time.Duration, from PeerID, message string) {}
+// PeerMessage does nothing: controllers send each other no messages.
+func (c *Controller) PeerMessage(now time.Duration, from PeerID, message string) {}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -52,7 +52,7 @@
 		h.addEngines("a")
 		h.fillEngine("a", 0)
 		h.submit("held", "report", "", 20*time.Second)
-		h.c.Leaving(h.now, h.now+1500*ms)
+		h.c.ShuttingDown(h.now, h.now+1500*ms)
 		h.endAttempt("fill", 0, "a", Done)
 		h.advance(1500 * ms)
 		h.endAttempt("held", 0, "a", TimedOut)
@@ -135,11 +135,11 @@
 		h.advance(1200 * ms)
 	})
 	runGolden(t, "rule7_budget", func(h *fakeHost) {
-		h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFree = 5*time.Second, 1 })
+		h.start(func(s *Settings) { s.BudgetWindow, s.BudgetFloor = 5*time.Second, 1 })
 		h.addEngines("a", "b")
 		h.submit("j", "lookup", "", 5*time.Second)
-		h.endAttempt("j", 0, "a", TurnedAway)
-		h.endAttempt("j", 1, "b", TurnedAway)
+		h.endAttempt("j", 0, "a", Refused)
+		h.endAttempt("j", 1, "b", Refused)
 		h.advance(1200 * ms)
 	})
 }
@@ -195,12 +195,12 @@
 		h.start(func(s *Settings) { s.Classes[0].LatencyTarget = 400 * ms })
 		h.addEngines("a", "b")
 		for _, id := range []JobID{"known", "1", "2", "3", "4"} {
-			h.c.JobTaken(h.now, id, "lookup", "", "", h.now+3*time.Second, 20*ms, 0, 1, false, nil)
+			h.c.JobArrived(h.now, id, "lookup", "", "", h.now+3*time.Second, 20*ms, 0, 1, false, nil)
 			if at := h.c.jobs[id].inFlight.engine.id; id != "known" {
 				h.advance(340 * ms)
 				h.endAttempt(id, 0, at, Recalled)
 			}
-			h.c.AttemptOver(h.now, id, 0, "", Done, 20*ms, true, 0, 0, Load{})
+			h.c.AttemptEnded(h.now, id, 0, "", Done, 20*ms, true, 0, 0, Load{})
 		}
 	})
 	runGolden(t, "overload_sheds_least_value", func(h *fakeHost) {
@@ -226,7 +226,7 @@
 	})
 	runGolden(t, "many_controllers_cold_in_turn", func(h *fakeHost) {
 		for number := range 3 {
-			h.start(func(s *Settings) { s.Controllers, s.Number, s.FallMultiple = 4, number, 6 })
+			h.start(func(s *Settings) { s.Controllers, s.Number, s.CollapseMultiple = 4, number, 6 })
 			h.listEngine("a", Up, h.now-time.Second)
 			h.submit(JobID(fmt.Sprint("of ", number)), "load", "", 20*time.Second)
 			h.advance(8 * time.Second)
@@ -255,8 +255,8 @@
 		for _, full := range []float64{0.5, 3} {
 			for i := range 20 {
 				id := JobID(fmt.Sprint("j", i))
-				h.c.JobTaken(h.now, id, "lookup", "", "", h.now+5*time.Second, 100*ms, 0, 1, false, nil)
-				h.c.AttemptOver(h.now, id, 0, "a", Done, 100*ms, true, 0, 0, Load{MemoryGranted: full})
+				h.c.JobArrived(h.now, id, "lookup", "", "", h.now+5*time.Second, 100*ms, 0, 1, false, nil)
+				h.c.AttemptEnded(h.now, id, 0, "a", Done, 100*ms, true, 0, 0, Load{MemoryGranted: full})
 			}
 			seen[full] = h.c.list.byID["a"].limit > 5
 		}
@@ -269,17 +269,17 @@
 		h.learnLatencies("a", 40)
 		for i := range 200 { // slow because of other controllers' jobs, so that a narrower limit here would not help
 			id := JobID(fmt.Sprint("j", i))
-			h.c.JobTaken(h.now, id, "lookup", "", "", h.now+5*time.Second, 0, 0, 1, false, nil)
-			h.c.AttemptOver(h.now, id, 0, "a", Done, 800*ms, true, 0, 0, Load{})
+			h.c.JobArrived(h.now, id, "lookup", "", "", h.now+5*time.Second, 0, 0, 1, false, nil)
+			h.c.AttemptEnded(h.now, id, 0, "a", Done, 800*ms, true, 0, 0, Load{})
 		}
 		h.trace.Reset()
 		h.record("limit %.2f of 4 cores with 2 controllers", h.c.list.byID["a"].limit)
 	})
 	runGolden(t, "list_refused", func(h *fakeHost) {
 		h.start(func(s *Settings) { s.ListOnRequest = true })
-		h.c.ListBegins(h.now, ListRemembered)
+		h.c.ListBegins(h.now, ListInitial)
 		h.c.ListEnds(h.now)
-		h.c.ListBegins(h.now, ListRefused)
+		h.c.ListBegins(h.now, ListFailed)
 		h.c.ListEnds(h.now)
 		h.advance(time.Second)
 	})
@@ -336,13 +336,13 @@
 	round := func(took time.Duration) {
 		for range 12 {
 			n++
-			h.c.JobTaken(h.now, JobID(fmt.Sprint("j", n)), "lookup", "", "", h.now+5*time.Second, 100*ms, 0, Tables(n), false, nil)
+			h.c.JobArrived(h.now, JobID(fmt.Sprint("j", n)), "lookup", "", "", h.now+5*time.Second, 100*ms, 0, Tables(n), false, nil)
 		}
 		h.now += took
 		for _, e := range h.c.candidates {
 			for len(e.inFlight) > 0 {
 				j := e.inFlight[0]
-				h.c.AttemptOver(h.now, j.id, j.attemptCount-1, e.id, Done, took, true, 100*ms, 0, Load{})
+				h.c.AttemptEnded(h.now, j.id, j.attemptCount-1, e.id, Done, took, true, 100*ms, 0, Load{})
 				if len(e.inFlight) > 0 && e.inFlight[0].inFlight.sentAt == h.now {
 					break // jobs dispatched just now are answered in the next round
 				}
@@ -375,10 +375,10 @@
 		answered := func(name ClassName, took time.Duration) float64 {
 			n++
 			id := JobID(fmt.Sprint("j", n))
-			h.c.JobTaken(h.now, id, name, "", "", h.now+5*time.Second, 100*ms, 0, Tables(n), false, nil)
+			h.c.JobArrived(h.now, id, name, "", "", h.now+5*time.Second, 100*ms, 0, Tables(n), false, nil)
 			h.now += took
 			if j := h.c.jobs[id]; j != nil && j.inFlight != nil {
-				h.c.AttemptOver(h.now, id, 0, j.inFlight.engine.id, Done, took, true, 0, 0, Load{})
+				h.c.AttemptEnded(h.now, id, 0, j.inFlight.engine.id, Done, took, true, 0, 0, Load{})
 			}
 			h.c.updateTotals()
 			return h.c.usableLimit
@@ -418,10 +418,10 @@
 				n++
 				id := JobID(fmt.Sprint("j", n))
 				took := time.Duration(factor * math.Exp(0.9*rng.NormFloat64()) * float64(10*ms))
-				h.c.JobTaken(h.now, id, "lookup", "", "", h.now+time.Minute, 10*ms, 0, Tables(n), false, nil)
+				h.c.JobArrived(h.now, id, "lookup", "", "", h.now+time.Minute, 10*ms, 0, Tables(n), false, nil)
 				h.now += took
 				if j := h.c.jobs[id]; j != nil && j.inFlight != nil {
-					h.c.AttemptOver(h.now, id, 0, j.inFlight.engine.id, Done, took, true, 0, 0, Load{})
+					h.c.AttemptEnded(h.now, id, 0, j.inFlight.engine.id, Done, took, true, 0, 0, Load{})
 				}
 				slow += h.c.slowness.value / float64(answers)
 			}
@@ -444,16 +444,16 @@
 // of keys with an open job or in their quiet period are kept.
 func TestKeysForgotten(t *testing.T) {
 	h := &fakeHost{now: time.Minute, timers: map[TimerID]time.Duration{}}
-	h.start(func(s *Settings) { s.KeyQuiet = time.Hour })
+	h.start(func(s *Settings) { s.KeyQuietPeriod = time.Hour })
 	h.addEngines("a", "b")
 	ordered := h.c.settings.Classes[slices.IndexFunc(h.c.settings.Classes, func(c Class) bool { return c.Ordered })].Name
 	submit := func(id JobID, key Key) bool {
-		h.c.JobTaken(h.now, id, ordered, "", key, h.now+10*time.Second, 10*ms, 0, 0, false, nil)
+		h.c.JobArrived(h.now, id, ordered, "", key, h.now+10*time.Second, 10*ms, 0, 0, false, nil)
 		return h.c.jobs[id] != nil && h.c.jobs[id].inFlight != nil
 	}
 	endAttempt := func(id JobID, o Outcome) {
 		if j := h.c.jobs[id]; j != nil && j.inFlight != nil {
-			h.c.AttemptOver(h.now, id, 0, j.inFlight.engine.id, o, 10*ms, true, 0, 0, Load{})
+			h.c.AttemptEnded(h.now, id, 0, j.inFlight.engine.id, o, 10*ms, true, 0, 0, Load{})
 		}
 	}
 	if !submit("open", "stays") || !submit("lost", "rests") {
--- a/logic/place_test.go
+++ b/logic/place_test.go
@@ -14,15 +14,15 @@
 	noRetries bool // allows no retries
 }
 
-func (p *enginePool) Set() any                                         { return p }
-func (p *enginePool) Allows(e EngineID) bool                           { return slices.Contains(p.engines, e) }
-func (p *enginePool) Room() bool                                       { return !p.full }
-func (p *enginePool) Further(sinceFirst, sinceLast time.Duration) bool { return !p.noRetries }
+func (p *enginePool) EngineSetKey() any                                 { return p }
+func (p *enginePool) Allows(e EngineID) bool                            { return slices.Contains(p.engines, e) }
+func (p *enginePool) HasRoom() bool                                     { return !p.full }
+func (p *enginePool) MayRetry(sinceFirst, sinceLast time.Duration) bool { return !p.noRetries }
 
 // submitPlaced has a job with a placement arrive.
 func (h *fakeHost) submitPlaced(id JobID, name ClassName, timeout time.Duration, p *enginePool) {
 	h.record("- %s taken (%s)", id, name)
-	h.c.JobTaken(h.now, id, name, "", "", h.now+timeout, 0, 0, 1, false, p)
+	h.c.JobArrived(h.now, id, name, "", "", h.now+timeout, 0, 0, 1, false, p)
 }
 
 // TestPlacements compares the decisions for jobs with placements with expected traces.
@@ -79,9 +79,9 @@
 		h.submitPlaced("j", "lookup", 5*time.Second, &enginePool{})
 		h.submitPlaced("none", "lookup", 5*time.Second, &enginePool{})
 		h.advance(100 * ms)
-		h.c.Placed(h.now, "j", &enginePool{engines: []EngineID{"b"}}, false)
-		h.c.Placed(h.now, "none", &enginePool{}, true)
-		h.c.Placed(h.now, "unknown", &enginePool{}, true)
+		h.c.PlacementChanged(h.now, "j", &enginePool{engines: []EngineID{"b"}}, false)
+		h.c.PlacementChanged(h.now, "none", &enginePool{}, true)
+		h.c.PlacementChanged(h.now, "unknown", &enginePool{}, true)
 	})
 	// Rule 2 (repeats) overrides any placement: a job that may have run in one cell is not sent to another, and is
 	// answered at once instead of being queued.
@@ -96,7 +96,7 @@
 		h.endAttempt("j", 1, "a", ConnectionLost)
 		h.submitPlaced("moved", "load", 20*time.Second, &enginePool{engines: []EngineID{"bb"}})
 		h.endAttempt("moved", 0, "bb", ConnectionLost)
-		h.c.Placed(h.now, "moved", &enginePool{engines: []EngineID{"a"}}, false)
+		h.c.PlacementChanged(h.now, "moved", &enginePool{engines: []EngineID{"a"}}, false)
 		h.endAttempt("moved", 1, "bb", ConnectionLost)
 	})
 	runGolden(t, "placement_without_repeats", func(h *fakeHost) {
