--- a/config/settings.go
+++ b/config/settings.go
@@ -149,18 +149,18 @@
 type limitsAdapter struct{ *limit.Limits }
 
 func (l limitsAdapter) TakeCustomerShare(now time.Duration, customer logic.CustomerID) bool {
-	return l.Limits.Within(now, limit.CustomerID(customer))
+	return l.Limits.TakeCustomerShare(now, limit.CustomerID(customer))
 }
 
 func (l limitsAdapter) Engine(cores float64) logic.EngineLimit { return l.Limits.Engine(cores) }
 
 func newLimits(settings logic.Settings) limitsAdapter {
 	limitSettings := limit.Settings{Controllers: settings.Controllers, Number: settings.Number, BudgetWindow: settings.BudgetWindow,
-		BudgetFree: settings.BudgetFloor, BudgetShare: settings.BudgetShare, StartCapacity: settings.StartCapacity,
-		Cold: settings.ColdPeriod, FallMultiple: settings.CollapseMultiple, Fall: settings.CollapsePeriod}
+		BudgetFloor: settings.BudgetFloor, BudgetShare: settings.BudgetShare, StartCapacity: settings.StartCapacity,
+		ColdPeriod: settings.ColdPeriod, CollapseMultiple: settings.CollapseMultiple, CollapsePeriod: settings.CollapsePeriod}
 	for _, customer := range settings.Customers {
 		limitSettings.Customers = append(limitSettings.Customers,
-			limit.Customer{Name: limit.CustomerID(customer.Name), JobsPerS: customer.JobsPerSecond})
+			limit.Customer{Name: limit.CustomerID(customer.Name), JobsPerSecond: customer.JobsPerSecond})
 	}
 	return limitsAdapter{limit.New(limitSettings)}
 }
--- a/decide/limit/budget_test.go
+++ b/decide/limit/budget_test.go
@@ -14,7 +14,7 @@
 // as they are decided.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{BudgetWindow: time.Second, BudgetFree: 2, BudgetShare: 0.2}
+		settings := Settings{BudgetWindow: time.Second, BudgetFloor: 2, BudgetShare: 0.2}
 		l := New(settings)
 		var jobTimes, retryTimes []time.Duration
 		countWithin := func(list []time.Duration, from, to time.Duration) (n int) {
@@ -34,7 +34,7 @@
 			} else if l.MayRetry(now) {
 				l.CountRetry(now)
 				retryTimes = append(retryTimes, now)
-				if n := countWithin(retryTimes, now-settings.BudgetWindow, now); float64(n) > settings.BudgetFree+
+				if n := countWithin(retryTimes, now-settings.BudgetWindow, now); float64(n) > settings.BudgetFloor+
 					settings.BudgetShare*float64(countWithin(jobTimes, now-settings.BudgetWindow, now)) {
 					t.Fatalf("%d retries in the window before %v", n, now)
 				}
--- a/decide/limit/cold.go
+++ b/decide/limit/cold.go
@@ -28,7 +28,7 @@
 
 // Cold reports whether the engine started too recently to have its full capacity.
 func (e *Engine) Cold(now time.Duration) bool {
-	return e.startedAt != 0 && e.limits.settings.Fall != 0 && now-e.startedAt < e.limits.settings.Cold
+	return e.startedAt != 0 && e.limits.settings.CollapsePeriod != 0 && now-e.startedAt < e.limits.settings.ColdPeriod
 }
 
 // coldUsableShare is the share of the work under which a cold engine fails that controllers may send. The rest is headroom for work
@@ -68,7 +68,7 @@
 	if share == 0 || total > fleet || now < e.blockedUntil || spans > 1 && !e.isOwnTurn(now, spans) {
 		return false
 	}
-	windowStart := now - e.limits.settings.Fall*time.Duration(spans)
+	windowStart := now - e.limits.settings.CollapsePeriod*time.Duration(spans)
 	if index := sort.Search(len(e.recent), func(index int) bool { return e.recent[index].sentAt >= windowStart }); index < len(e.recent) {
 		total += float64(e.totalSent - e.recent[index].totalBefore)
 	}
@@ -78,7 +78,7 @@
 // mayHaveForgotten reports whether an earlier process of this controller may have sent work to the engine within the last span. A
 // restarted process has no record of that work.
 func (e *Engine) mayHaveForgotten(now time.Duration) bool {
-	return e.startedAt <= e.limits.firstCallAt && now-e.limits.firstCallAt < e.limits.settings.Fall
+	return e.startedAt <= e.limits.firstCallAt && now-e.limits.firstCallAt < e.limits.settings.CollapsePeriod
 }
 
 // allowance returns the work that this controller may send in a span, and the work that all controllers together may send. If on
@@ -86,7 +86,7 @@
 func (e *Engine) allowance(now time.Duration, share float64) (own, fleet float64) {
 	settings := &e.limits.settings
 	warmThreads := coldCoreUtilization * e.cores * coldThreadsPerCore // threads a warm engine runs: work per unit of time
-	fleet = coldUsableShare * settings.FallMultiple * e.minCapacityShare(now) * warmThreads * float64(settings.Fall)
+	fleet = coldUsableShare * settings.CollapseMultiple * e.minCapacityShare(now) * warmThreads * float64(settings.CollapsePeriod)
 	return fleet / math.Max(1, share*e.limits.controllers), fleet
 }
 
@@ -94,24 +94,24 @@
 // before that many spans have passed since the engine's start.
 func (e *Engine) isOwnTurn(now time.Duration, spans float64) bool {
 	settings := &e.limits.settings
-	_, phase := math.Modf(float64(now)/float64(settings.Fall)/spans + float64(settings.Number)*math.Phi)
-	return phase*spans <= turnFraction && float64(now-e.startedAt) >= spans*float64(settings.Fall)
+	_, phase := math.Modf(float64(now)/float64(settings.CollapsePeriod)/spans + float64(settings.Number)*math.Phi)
+	return phase*spans <= turnFraction && float64(now-e.startedAt) >= spans*float64(settings.CollapsePeriod)
 }
 
 // minCapacityShare returns a lower bound of the share of its full capacity that a cold engine has.
 func (e *Engine) minCapacityShare(now time.Duration) float64 {
 	settings := &e.limits.settings
-	age := float64(now-settings.Fall-e.startedAt) / float64(settings.Cold)
+	age := float64(now-settings.CollapsePeriod-e.startedAt) / float64(settings.ColdPeriod)
 	return settings.StartCapacity + (1-settings.StartCapacity)*math.Max(age, 0)/2
 }
 
 // CountWork records a job that was sent to the engine. It also does so while the engine is not cold, as a controller may learn of a
 // restart only later.
 func (e *Engine) CountWork(now, work time.Duration, share float64) {
-	firstRecent := sort.Search(len(e.recent), func(n int) bool { return e.recent[n].sentAt >= now-e.limits.settings.Cold })
+	firstRecent := sort.Search(len(e.recent), func(n int) bool { return e.recent[n].sentAt >= now-e.limits.settings.ColdPeriod })
 	e.recent = append(e.recent[firstRecent:], sentJob{now, e.totalSent})
 	e.totalSent += work
 	if own, _ := e.allowance(now, share); e.Cold(now) && float64(work) > own {
-		e.blockedUntil = now + time.Duration(math.Ceil(float64(work)/own))*e.limits.settings.Fall
+		e.blockedUntil = now + time.Duration(math.Ceil(float64(work)/own))*e.limits.settings.CollapsePeriod
 	}
 }
--- a/decide/limit/fleet_test.go
+++ b/decide/limit/fleet_test.go
@@ -52,19 +52,19 @@
 			}
 		}
 		l := New(settings)
-		l.Within(start-time.Minute, "")
+		l.TakeCustomerShare(start-time.Minute, "")
 		e := l.Engine(c.cores)
 		e.SetStart(start)
 		senders = append(senders, sender{e, time.Duration(rng.Int63n(int64(2 * time.Second))),
 			time.Duration(rng.Int63n(int64(200*ms))) - 100*ms, share})
 	}
-	for now := start; now < start+settings.Cold-200*ms; now += 20 * ms { // ends early enough that no clock takes the engine for warm
+	for now := start; now < start+settings.ColdPeriod-200*ms; now += 20 * ms { // ends early enough that no clock takes the engine for warm
 		for n := range senders {
 			s := &senders[n]
 			if c.restartShare > 0 && now-start >= c.restartAt && now-start < c.restartAt+20*ms && rng.Float64() < c.restartShare {
 				settings.Number = n
 				l := New(settings)
-				l.Within(now, "")
+				l.TakeCustomerShare(now, "")
 				s.Engine = l.Engine(c.cores)
 				s.Engine.SetStart(start)
 			}
@@ -84,7 +84,7 @@
 // stay below N, the jobs that the settings allow at that time, plus 2*sqrt(N)+2 for random variation, or 3*sqrt(N)+3 if N is below
 // 30, for any share of disk time in the work.
 func TestColdFleet(t *testing.T) {
-	settings := Settings{StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second}
+	settings := Settings{StartCapacity: 0.3, ColdPeriod: 10 * time.Second, CollapseMultiple: 3, CollapsePeriod: 2 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := coldStart{controllers: rapid.SampledFrom([]int{1, 3, 20, 30, 300, 900}).Draw(t, "controllers"),
 			engines: rapid.IntRange(1, 12).Draw(t, "engines"),
@@ -113,11 +113,11 @@
 		used := 0.0
 		for first := range sentAt {
 			sum := time.Duration(0)
-			for n := first; n < len(sentAt) && sentAt[n] < sentAt[first]+settings.Fall; n++ {
+			for n := first; n < len(sentAt) && sentAt[n] < sentAt[first]+settings.CollapsePeriod; n++ {
 				sum += work[n]
 			}
-			capacity := settings.StartCapacity + (1-settings.StartCapacity)*sentAt[first].Seconds()/settings.Cold.Seconds()
-			allowed := settings.FallMultiple * capacity * coldCoreUtilization * threadsPerCore * fleet.cores * settings.Fall.Seconds() / mean.Seconds()
+			capacity := settings.StartCapacity + (1-settings.StartCapacity)*sentAt[first].Seconds()/settings.ColdPeriod.Seconds()
+			allowed := settings.CollapseMultiple * capacity * coldCoreUtilization * threadsPerCore * fleet.cores * settings.CollapsePeriod.Seconds() / mean.Seconds()
 			maxJobs := allowed + 2*math.Sqrt(allowed) + 2
 			if allowed < 30 {
 				maxJobs = allowed + 3*math.Sqrt(allowed) + 3
@@ -134,7 +134,7 @@
 // TestColdUsed checks that controllers with enough jobs to send use a reasonable share of a cold engine's capacity over the ramp,
 // so that the limit is not too strict.
 func TestColdUsed(t *testing.T) {
-	settings := Settings{StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second}
+	settings := Settings{StartCapacity: 0.3, ColdPeriod: 10 * time.Second, CollapseMultiple: 3, CollapsePeriod: 2 * time.Second}
 	for _, controllers := range []int{3, 30, 300} {
 		fleet := coldStart{controllers: controllers, engines: 8, cores: 4, jobWorks: []time.Duration{40 * ms, 250 * ms, 400 * ms, 1500 * ms},
 			sendProbability: func(int) float64 { return 0.9 }}
@@ -143,7 +143,7 @@
 		for _, w := range work {
 			sum += w.Seconds()
 		}
-		available := settings.FallMultiple * (settings.StartCapacity + 1) / 2 * coldCoreUtilization * coldThreadsPerCore * 4 * settings.Cold.Seconds()
+		available := settings.CollapseMultiple * (settings.StartCapacity + 1) / 2 * coldCoreUtilization * coldThreadsPerCore * 4 * settings.ColdPeriod.Seconds()
 		t.Logf("%d controllers use %.2f of the ramp", controllers, sum/available)
 		if sum/available < 0.25 {
 			t.Errorf("%d controllers use %.2f of the ramp", controllers, sum/available)
--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -18,22 +18,22 @@
 
 // Customer is a customer with its job rate.
 type Customer struct {
-	Name     CustomerID
-	JobsPerS float64 // jobs per second over all controllers; 0 means no limit
+	Name          CustomerID
+	JobsPerSecond float64 // jobs per second over all controllers; 0 means no limit
 }
 
 // Settings are the limits that operators configure. A limit of zero is disabled.
 type Settings struct {
-	Controllers   int
-	Number        int // number of this controller, counted from 0
-	Customers     []Customer
-	BudgetWindow  time.Duration
-	BudgetFree    float64       // retries allowed in a window without any job
-	BudgetShare   float64       // additional retries for each job taken in the window
-	StartCapacity float64       // share of its capacity that an engine has when it starts
-	Cold          time.Duration // time from an engine's start until it has its full capacity
-	FallMultiple  float64       // multiple of its current capacity at which a cold engine fails
-	Fall          time.Duration // span within which work of that multiple makes it fail
+	Controllers      int
+	Number           int // number of this controller, counted from 0
+	Customers        []Customer
+	BudgetWindow     time.Duration
+	BudgetFloor      float64       // retries allowed in a window without any job
+	BudgetShare      float64       // additional retries for each job taken in the window
+	StartCapacity    float64       // share of its capacity that an engine has when it starts
+	ColdPeriod       time.Duration // time from an engine's start until it has its full capacity
+	CollapseMultiple float64       // multiple of its current capacity at which a cold engine fails
+	CollapsePeriod   time.Duration // span within which work of that multiple makes it fail
 }
 
 // Limits are the limits of one controller.
@@ -48,10 +48,10 @@
 
 // New returns the limits of a controller that starts.
 func New(settings Settings) *Limits {
-	l := &Limits{Budget: newBudget(settings.BudgetWindow, settings.BudgetFree, settings.BudgetShare), settings: settings,
+	l := &Limits{Budget: newBudget(settings.BudgetWindow, settings.BudgetFloor, settings.BudgetShare), settings: settings,
 		controllers: math.Max(1, float64(settings.Controllers)), buckets: map[CustomerID]*tokenBucket{}}
 	for _, c := range settings.Customers {
-		l.buckets[c.Name] = &tokenBucket{tokensPerSecond: c.JobsPerS / l.controllers}
+		l.buckets[c.Name] = &tokenBucket{tokensPerSecond: c.JobsPerSecond / l.controllers}
 	}
 	return l
 }
@@ -62,9 +62,9 @@
 	refilledAt              time.Duration
 }
 
-// Within reports whether a job of the customer is within its rate, and if so takes a token for it. A customer without a rate is
+// TakeCustomerShare reports whether a job of the customer is within its rate, and if so takes a token for it. A customer without a rate is
 // always within it. Tokens accumulate for up to one second, so that a short burst is not above the rate.
-func (l *Limits) Within(now time.Duration, customer CustomerID) bool {
+func (l *Limits) TakeCustomerShare(now time.Duration, customer CustomerID) bool {
 	l.recordFirstCall(now)
 	bucket := l.buckets[customer]
 	if bucket == nil || bucket.tokensPerSecond <= 0 {
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -47,8 +47,8 @@
 // earlier process sent there. To an engine that starts after the controller it may send at once.
 func TestRestarted(t *testing.T) {
 	const start = time.Minute
-	l := New(Settings{Controllers: 1, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second})
-	l.Within(start+time.Second, "")
+	l := New(Settings{Controllers: 1, StartCapacity: 0.3, ColdPeriod: 10 * time.Second, CollapseMultiple: 3, CollapsePeriod: 2 * time.Second})
+	l.TakeCustomerShare(start+time.Second, "")
 	before, after := l.Engine(4), l.Engine(4)
 	before.SetStart(start)
 	after.SetStart(start + time.Second + ms)
@@ -65,8 +65,8 @@
 // TestTurns traces one of three controllers that sends to a cold engine of 4 cores. A lookup fits into the controller's allowance
 // at any time, a report waits for the controller's turn, and work sent counts until the span is over.
 func TestTurns(t *testing.T) {
-	l := New(Settings{Controllers: 3, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second})
-	l.Within(0, "") // the process started long before the engine
+	l := New(Settings{Controllers: 3, StartCapacity: 0.3, ColdPeriod: 10 * time.Second, CollapseMultiple: 3, CollapsePeriod: 2 * time.Second})
+	l.TakeCustomerShare(0, "") // the process started long before the engine
 	e := l.Engine(4)
 	e.SetStart(time.Minute)
 	var lines []string
@@ -91,7 +91,7 @@
 func TestColdTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controllers := rapid.IntRange(1, 12).Draw(t, "controllers")
-		settings := Settings{Controllers: controllers, StartCapacity: 0.3, Cold: 10 * time.Second, FallMultiple: 3, Fall: 2 * time.Second}
+		settings := Settings{Controllers: controllers, StartCapacity: 0.3, ColdPeriod: 10 * time.Second, CollapseMultiple: 3, CollapsePeriod: 2 * time.Second}
 		var engines []*Engine
 		for settings.Number = range controllers {
 			e := New(settings).Engine(4)
@@ -117,13 +117,13 @@
 		for _, first := range all {
 			sum := time.Duration(0)
 			for _, c := range all {
-				if c.at >= first.at && c.at < first.at+settings.Fall {
+				if c.at >= first.at && c.at < first.at+settings.CollapsePeriod {
 					sum += c.work
 				}
 			}
-			age := float64(first.at-time.Minute) / float64(settings.Cold)
-			maxWork := settings.FallMultiple * (settings.StartCapacity + (1-settings.StartCapacity)*age) *
-				coldCoreUtilization * coldThreadsPerCore * 4 * settings.Fall.Seconds()
+			age := float64(first.at-time.Minute) / float64(settings.ColdPeriod)
+			maxWork := settings.CollapseMultiple * (settings.StartCapacity + (1-settings.StartCapacity)*age) *
+				coldCoreUtilization * coldThreadsPerCore * 4 * settings.CollapsePeriod.Seconds()
 			if sum.Seconds() > maxWork {
 				t.Fatalf("%v of work in the span from %v on, want at most %.1f s", sum, first.at-time.Minute, maxWork)
 			}
@@ -137,7 +137,7 @@
 	var lines []string
 	for now := time.Minute; now < time.Minute+2*time.Second; now += 100 * ms {
 		lines = append(lines, fmt.Sprintf("%4d ms  a %v, %v; none %v; unknown %v", (now-time.Minute).Milliseconds(),
-			l.Within(now, "a"), l.Within(now, "a"), l.Within(now, "none"), l.Within(now, "unknown")))
+			l.TakeCustomerShare(now, "a"), l.TakeCustomerShare(now, "a"), l.TakeCustomerShare(now, "none"), l.TakeCustomerShare(now, "unknown")))
 	}
 	compareGolden(t, lines)
 }
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -78,9 +78,9 @@
 		return slices.Concat(up[at:], up[:at])
 	}
 	s.Limits = limitsAdapter{limit.New(limit.Settings{Controllers: s.Controllers, Number: s.Number,
-		BudgetWindow: s.BudgetWindow, BudgetFree: s.BudgetFloor, BudgetShare: s.BudgetShare,
-		StartCapacity: s.StartCapacity, Cold: s.ColdPeriod, FallMultiple: s.CollapseMultiple, Fall: s.CollapsePeriod})}
-	s.Limits.(limitsAdapter).Limits.Within(0, "") // the limits' time starts here, as if the process had run for some time
+		BudgetWindow: s.BudgetWindow, BudgetFloor: s.BudgetFloor, BudgetShare: s.BudgetShare,
+		StartCapacity: s.StartCapacity, ColdPeriod: s.ColdPeriod, CollapseMultiple: s.CollapseMultiple, CollapsePeriod: s.CollapsePeriod})}
+	s.Limits.(limitsAdapter).Limits.TakeCustomerShare(0, "") // the limits' time starts here, as if the process had run for some time
 	s.Slowness = slownessAdapter{thin.New()}
 	h.c = New(h, s, 1)
 }
