--- a/controller/clients.go
+++ b/controller/clients.go
@@ -45,7 +45,7 @@
 func (c *Controller) addClient(conn netpoll.Connection) *client {
 	cl := &client{jobs: map[uint32]*job{}}
 	c.lastConnID++
-	if cl.id = c.lastConnID; c.phase == Stopped || !c.admission.Came(c.now, cl.id) {
+	if cl.id = c.lastConnID; c.phase == Stopped || !c.admission.Connected(c.now, cl.id) {
 		c.counts[clientsRefused]++
 		if c.turnedAwayConns >= maxLingering(c.cfg) {
 			return nil
@@ -87,7 +87,7 @@
 
 func (h admissionHost) State(id admission.ConnID) admission.State {
 	cl := h.c.clients[id]
-	return admission.State{Jobs: len(cl.jobs), Unsent: cl.backlog() > 0, Half: cl.partialAge(h.c.now)}
+	return admission.State{Jobs: len(cl.jobs), Unsent: cl.backlog() > 0, IncompleteFor: cl.partialAge(h.c.now)}
 }
 
 func (h admissionHost) Unread(id admission.ConnID) bool { return h.c.clients[id].hasUnread() }
@@ -96,10 +96,10 @@
 	c, cl := h.c, h.c.clients[id]
 	c.counts[clientsAskedToLeave]++
 	cl.sendEmptyFrame(frame.NoMore, 0)
-	cl.afterFlush(func() { c.admission.Told(c.now, id) })
+	cl.afterFlush(func() { c.admission.LeaveRequestSent(c.now, id) })
 }
 
-func (h admissionHost) End(id admission.ConnID, why admission.Why) {
+func (h admissionHost) End(id admission.ConnID, why admission.CloseReason) {
 	if why == admission.ForNewcomer {
 		h.c.counts[clientsEvicted]++
 		h.c.closeClient(h.c.clients[id], "room for a new client")
@@ -109,7 +109,7 @@
 	}
 }
 
-func (h admissionHost) Misread(id admission.ConnID) {
+func (h admissionHost) IncompleteMessage(id admission.ConnID) {
 	h.c.failMalformed(h.c.clients[id], errIncompleteFrame)
 }
 
@@ -135,7 +135,7 @@
 // forgetClient removes a connection from the table and from admission.
 func (c *Controller) forgetClient(cl *client) {
 	delete(c.clients, cl.id)
-	c.admission.Went(cl.id)
+	c.admission.Closed(cl.id)
 }
 
 // clientClosed handles the end of a client connection.
@@ -232,7 +232,7 @@
 }
 
 // touch keeps a connection from being considered idle.
-func (cl *client) touch() { cl.c.admission.Heard(cl.c.now, cl.id) }
+func (cl *client) touch() { cl.c.admission.MessageReceived(cl.c.now, cl.id) }
 
 // jobFields holds the fields of a job as they arrived.
 type jobFields struct{ class, id, wait, idempotencyKey, cost, memory, customer, tenant, key, retry []byte }
@@ -358,7 +358,7 @@
 			return
 		}
 		if c.exit != nil {
-			c.exit.JobCame(c.now)
+			c.exit.JobArrived(c.now)
 		}
 		cl.jobs[stream] = j
 		// Load shedding: the process must not run out of memory. The job never ran, so a retry does no harm.
@@ -371,7 +371,7 @@
 		j.acceptedAt = c.now
 		j.deadline = c.now + time.Duration(waitMS)*time.Millisecond - transitAllowance - c.maxInputAge()
 		if c.exit != nil {
-			j.deadline = min(j.deadline, c.exit.Last())
+			j.deadline = min(j.deadline, c.exit.LatestDeadline())
 		}
 		c.jobs[j.id] = j
 		c.jobBytes += int64(len(j.statement))
@@ -517,7 +517,7 @@
 	leaveAt := c.now - c.maxInputAge() + 700*time.Millisecond
 	c.exit = admission.NewExit(leaveAt, leaveAt+min(maxDeadline, 3*time.Second)-200*time.Millisecond)
 	c.schedule(leaveAt, c.leaveRound)
-	deadline := c.exit.Last()
+	deadline := c.exit.LatestDeadline()
 	// An attempt whose answer can't arrive before the end is not sent.
 	c.logic.ShuttingDown(c.now, deadline)
 	for _, id := range sorted(c.jobs) {
@@ -560,7 +560,7 @@
 			ending = append(ending, cl)
 			c.closeClient(cl, "the process ends")
 		}
-		deadline := max(c.now+shutdownGrace, c.exit.Last())
+		deadline := max(c.now+shutdownGrace, c.exit.LatestDeadline())
 		c.schedule(c.now+shutdownGrace, func() { c.awaitShutdown(ending, deadline) })
 		return
 	}
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -831,7 +831,7 @@
 		return false
 	})
 	b.waitUntil(func() bool { // it is asked to leave, the request is sent, and two checks find nothing
-		b.c.now += admission.Silent + time.Second
+		b.c.now += admission.FirstMessageTimeout + time.Second
 		b.c.admission.Sweep(b.c.now)
 		return b.c.counts[clientsIdleClosed] == 1
 	})
@@ -840,7 +840,7 @@
 	half.expectFrame(frame.Answer, 0, frame.Failed, "")
 	half.expectClosed()
 	first := dial()
-	for range b.c.admission.Most() {
+	for range b.c.admission.MaxConns() {
 		b.connect()
 	}
 	first.expectFrame(frame.NoMore, 0, 0, "")
--- a/controller/crossing_close_test.go
+++ b/controller/crossing_close_test.go
@@ -16,7 +16,7 @@
 func TestTurnedAway(t *testing.T) {
 	e := newFakeEngine(t, "127.0.0.1:0")
 	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Logic.Kinds[0].Cores = 64 }, e)
-	for n := range b.c.admission.Most() {
+	for n := range b.c.admission.MaxConns() {
 		b.connect().sendJob(1, "select 1", "class", "quick", "id", "00000000000000"+string("0123456789abcdef"[n/16])+string("0123456789abcdef"[n%16]), "wait", "2900")
 		e.expectCommand("serve")
 	}
@@ -101,7 +101,7 @@
 	cl.expectFrame(frame.NoMore, 0, 0, "")
 	b.waitUntil(func() bool { return b.c.exit != nil })
 	b.c.withLock(func() {
-		if j := b.c.jobs["0000000000000001"]; j.inFlight.deadline > b.c.exit.Last() || j.deadline > b.c.exit.Last() {
+		if j := b.c.jobs["0000000000000001"]; j.inFlight.deadline > b.c.exit.LatestDeadline() || j.deadline > b.c.exit.LatestDeadline() {
 			t.Error("attempt or job continues beyond the end of the process")
 		}
 	})
@@ -119,7 +119,7 @@
 	b, cl := startWithHangingJob(t, time.Second)
 	b.c.withLock(func() { // under the lock nothing else is handled
 		b.c.startDrain()
-		time.Sleep(b.c.exit.Last() + 2*shutdownGrace - b.c.clock())
+		time.Sleep(b.c.exit.LatestDeadline() + 2*shutdownGrace - b.c.clock())
 	})
 	cl.expectFrame(frame.NoMore, 0, 0, "")
 	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
--- a/controller/crossing_discovery_test.go
+++ b/controller/crossing_discovery_test.go
@@ -107,7 +107,7 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	b.waitUntil(func() bool { return b.c.admission.Open() == b.c.admission.Most() })
+	b.waitUntil(func() bool { return b.c.admission.Open() == b.c.admission.MaxConns() })
 	b.c.withLock(func() {
 		b.c.discovery.changeAddress(address)
 		if open := len(b.c.clients) + b.c.turnedAwayConns + int(b.c.lingeringConns.Load()); open > maxClients(b.c.cfg)+2*maxLingering(b.c.cfg) {
--- a/controller/faults.go
+++ b/controller/faults.go
@@ -129,7 +129,7 @@
 	}
 	c.logic.ListEnds(c.now)
 	if c.exit != nil {
-		c.logic.ShuttingDown(c.now, c.exit.Last())
+		c.logic.ShuttingDown(c.now, c.exit.LatestDeadline())
 	}
 }
 
--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -18,40 +18,40 @@
 
 // State is the current state of a connection as its host sees it.
 type State struct {
-	Jobs   int           // jobs open on the connection
-	Unsent bool          // bytes are queued that have not been sent
-	Half   time.Duration // time since the start of a message that is not complete, 0 without one
+	Jobs          int           // jobs open on the connection
+	Unsent        bool          // bytes are queued that have not been sent
+	IncompleteFor time.Duration // time since the start of a message that is not complete, 0 without one
 }
 
-func (s State) isIdle() bool { return s.Jobs == 0 && !s.Unsent && s.Half == 0 }
+func (s State) isIdle() bool { return s.Jobs == 0 && !s.Unsent && s.IncompleteFor == 0 }
 
 // Host carries out the decisions of a Control.
 type Host interface {
 	State(ConnID) State
-	Unread(ConnID) bool // reports whether received bytes were not read yet; it asks the kernel, so it is called only before a close
-	AskToLeave(ConnID)  // asks the client to send no new job on the connection; the host calls Told once this has been sent
-	End(ConnID, Why)    // closes the connection at once; the Control forgets it with the call
-	Misread(ConnID)     // tells the client that its message was not completed; the host calls Went afterwards
+	Unread(ConnID) bool       // reports whether received bytes were not read yet; it asks the kernel, so it is called only before a close
+	AskToLeave(ConnID)        // asks the client to send no new job on the connection; the host calls Told once this has been sent
+	End(ConnID, CloseReason)  // closes the connection at once; the Control forgets it with the call
+	IncompleteMessage(ConnID) // tells the client that its message was not completed; the host calls Went afterwards
 }
 
-// Why is the reason for which a connection was closed.
-type Why int
+// CloseReason is the reason for which a connection was closed.
+type CloseReason int
 
 const (
-	Idle Why = iota
+	Idle CloseReason = iota
 	ForNewcomer
 )
 
-func (w Why) String() string { return [...]string{"idle", "for a newcomer"}[w] }
+func (w CloseReason) String() string { return [...]string{"idle", "for a newcomer"}[w] }
 
 // Silent limits how long a connection may stay without a first message, or with an incomplete one; a client that has a request
 // sends it within one or two round trips. idleTimeout applies after the first message and is longer than the 4 s after which
 // clients close connections themselves. frontIdleTimeout applies to the front's connections, on which it asks whether the
 // controller is ready. The times are those of the protocol, each with a margin for a slow machine.
 const (
-	Silent           = 2 * time.Second
-	idleTimeout      = 6 * time.Second
-	frontIdleTimeout = time.Minute
+	FirstMessageTimeout = 2 * time.Second
+	idleTimeout         = 6 * time.Second
+	frontIdleTimeout    = time.Minute
 )
 
 // linger is the time from sending the request to leave until the close. It spans many round trips, so that a job which a client
@@ -89,8 +89,8 @@
 // New returns a Control with the given number of places, at least 1.
 func New(host Host, maxConns int) *Control { return &Control{host: host, maxConns: max(maxConns, 1)} }
 
-// Most returns the maximum number of connections.
-func (c *Control) Most() int { return c.maxConns }
+// MaxConns returns the maximum number of connections.
+func (c *Control) MaxConns() int { return c.maxConns }
 
 // Open returns the number of open connections.
 func (c *Control) Open() int { return len(c.conns) }
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Came handles a new connection and reports whether it is accepted. It may close another one to make room.
-func (c *Control) Came(now time.Duration, id ConnID) bool {
+// Connected handles a new connection and reports whether it is accepted. It may close another one to make room.
+func (c *Control) Connected(now time.Duration, id ConnID) bool {
 	if len(c.conns) >= c.maxConns && !c.makeRoom(now) {
 		return false
 	}
@@ -165,7 +165,7 @@
 	case client.hasMessage:
 		return client.lastActive + idleTimeout
 	}
-	return client.lastActive + Silent
+	return client.lastActive + FirstMessageTimeout
 }
 
 func (c *Control) ask(client *conn) {
@@ -173,13 +173,13 @@
 	c.host.AskToLeave(client.id)
 }
 
-func (c *Control) end(client *conn, why Why) {
+func (c *Control) end(client *conn, why CloseReason) {
 	c.host.End(client.id, why)
-	c.Went(client.id)
+	c.Closed(client.id)
 }
 
-// Heard records that a complete message was received.
-func (c *Control) Heard(now time.Duration, id ConnID) {
+// MessageReceived records that a complete message was received.
+func (c *Control) MessageReceived(now time.Duration, id ConnID) {
 	if client := c.lookup(id); client != nil {
 		client.lastActive, client.hasMessage, client.seenIdle = now, true, false
 	}
@@ -187,7 +187,7 @@
 
 // Front records a message that asks whether the controller is ready. Such a connection may stay idle longer.
 func (c *Control) Front(now time.Duration, id ConnID) {
-	if c.Heard(now, id); c.lookup(id) != nil {
+	if c.MessageReceived(now, id); c.lookup(id) != nil {
 		c.lookup(id).front = true
 	}
 }
@@ -199,15 +199,15 @@
 	}
 }
 
-// Told records that the request to leave was sent.
-func (c *Control) Told(now time.Duration, id ConnID) {
+// LeaveRequestSent records that the request to leave was sent.
+func (c *Control) LeaveRequestSent(now time.Duration, id ConnID) {
 	if client := c.lookup(id); client != nil {
 		client.askedToLeave, client.askedAt = true, now
 	}
 }
 
-// Went forgets a connection that is closed.
-func (c *Control) Went(id ConnID) {
+// Closed forgets a connection that is closed.
+func (c *Control) Closed(id ConnID) {
 	if index, found := c.find(id); found {
 		c.conns = slices.Delete(c.conns, index, index+1)
 	}
@@ -220,9 +220,9 @@
 	for _, client := range slices.Clone(c.conns) {
 		state := c.host.State(client.id)
 		switch {
-		case state.Half > Silent:
+		case state.IncompleteFor > FirstMessageTimeout:
 			if !c.host.Unread(client.id) { // otherwise the rest has arrived, and was not read as the process was paused
-				c.host.Misread(client.id)
+				c.host.IncompleteMessage(client.id)
 			}
 		case !state.isIdle():
 			client.seenIdle = false
--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -49,16 +49,16 @@
 func (h *fakeHost) State(id ConnID) State { return *h.states[id] }
 func (h *fakeHost) Unread(id ConnID) bool { return h.unread[id] }
 func (h *fakeHost) AskToLeave(id ConnID)  { h.tracef("asks %d to leave", id) }
-func (h *fakeHost) Misread(id ConnID) {
+func (h *fakeHost) IncompleteMessage(id ConnID) {
 	h.tracef("%d does not end its message", id)
 	h.forget(id)
 }
 
-func (h *fakeHost) End(id ConnID, why Why) {
+func (h *fakeHost) End(id ConnID, why CloseReason) {
 	h.tracef("ends %d: %v", id, why)
 	askedAt, asked := h.askedAt[id]
 	switch s := h.states[id]; {
-	case s.Jobs > 0 || s.Unsent || s.Half > 0 || h.unread[id]:
+	case s.Jobs > 0 || s.Unsent || s.IncompleteFor > 0 || h.unread[id]:
 		h.violation = fmt.Sprintf("ends %d with %+v, unread %v", id, *s, h.unread[id])
 	case why == Idle && (!asked || h.now < askedAt+linger):
 		h.violation = fmt.Sprintf("ends %d as idle before linger after the request to leave", id)
@@ -74,12 +74,12 @@
 	delete(h.states, id)
 	delete(h.unread, id)
 	delete(h.askedAt, id)
-	h.control.Went(id)
+	h.control.Closed(id)
 }
 
 func (h *fakeHost) connect(id ConnID) bool {
-	h.placesFull = h.control.Open() == h.control.Most()
-	accepted := h.control.Came(h.now, id)
+	h.placesFull = h.control.Open() == h.control.MaxConns()
+	accepted := h.control.Connected(h.now, id)
 	if h.placesFull = false; accepted {
 		h.states[id] = &State{}
 	}
@@ -97,7 +97,7 @@
 
 func (h *fakeHost) markAsked(id ConnID) {
 	h.askedAt[id] = h.now
-	h.control.Told(h.now, id)
+	h.control.LeaveRequestSent(h.now, id)
 }
 
 // compareGolden compares a trace with the golden file of the test, or writes the file if -update is set.
@@ -122,10 +122,10 @@
 	for id := range ConnID(5) {
 		h.connect(id)
 	}
-	h.control.Heard(h.now, 1)
+	h.control.MessageReceived(h.now, 1)
 	h.control.Front(h.now, 2)
-	h.control.Heard(h.now, 3)
-	h.states[4].Half = Silent + 1
+	h.control.MessageReceived(h.now, 3)
+	h.states[4].IncompleteFor = FirstMessageTimeout + 1
 	h.advance(2100 * time.Millisecond)
 	h.markAsked(0)
 	h.advance(200 * time.Millisecond)
@@ -139,7 +139,7 @@
 	h.tracef("1 has its answer, and 3 is read")
 	h.unread[1], h.unread[3] = false, false
 	h.control.Answered(h.now, 1)
-	h.control.Heard(h.now, 3)
+	h.control.MessageReceived(h.now, 3)
 	h.advance(time.Second)
 	h.tracef("nothing for a minute")
 	h.markAsked(3)
@@ -153,7 +153,7 @@
 	h := newFakeHost(8)
 	for id := range ConnID(7) {
 		h.connect(id)
-		h.control.Heard(h.now, id)
+		h.control.MessageReceived(h.now, id)
 		h.now += 10 * time.Millisecond
 	}
 	h.states[0].Jobs = 1
@@ -195,27 +195,27 @@
 					}
 				}
 				next++
-				if accepted := h.connect(next); !accepted && busy < h.control.Most() {
+				if accepted := h.connect(next); !accepted && busy < h.control.MaxConns() {
 					t.Fatal("refused although a connection could be closed\n", h.trace.String())
 				}
 			case event == 3:
 				h.control.Sweep(h.now)
 			case s == nil:
 			case event == 4:
-				h.control.Heard(h.now, id)
+				h.control.MessageReceived(h.now, id)
 				s.Jobs = rapid.IntRange(0, 1).Draw(t, "jobs")
 			case event == 5:
 				h.unread[id] = rapid.Bool().Draw(t, "unread")
 			case event == 6:
 				s.Unsent = rapid.Bool().Draw(t, "unsent")
 			case event == 7:
-				s.Half = time.Duration(rapid.IntRange(0, 3).Draw(t, "half")) * time.Second
+				s.IncompleteFor = time.Duration(rapid.IntRange(0, 3).Draw(t, "half")) * time.Second
 			case event == 8:
 				h.markAsked(id)
 			default:
 				h.forget(id)
 			}
-			if h.violation != "" || h.control.Open() > h.control.Most() || h.control.Open() != len(h.states) {
+			if h.violation != "" || h.control.Open() > h.control.MaxConns() || h.control.Open() != len(h.states) {
 				t.Fatal(h.violation, h.control.Open(), len(h.states), "\n", h.trace.String())
 			}
 		}
@@ -231,7 +231,7 @@
 			h.now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				h.control.Heard(h.now, 1)
+				h.control.MessageReceived(h.now, 1)
 			case 1:
 				h.control.Answered(h.now, 1)
 			default:
@@ -261,7 +261,7 @@
 		{"nothing is open", func(*Exit, time.Duration) (time.Duration, int) { return 0, 0 }},
 		{"a job comes at 730 ms and takes 50", func(x *Exit, now time.Duration) (time.Duration, int) {
 			if now == 730*time.Millisecond {
-				x.JobCame(now)
+				x.JobArrived(now)
 			}
 			if now >= 730*time.Millisecond && now < 780*time.Millisecond {
 				return 0, 1
@@ -281,7 +281,7 @@
 	} {
 		first, last := 700*time.Millisecond, 1500*time.Millisecond
 		x := NewExit(first, last)
-		x.JobCame(first - 10*time.Millisecond)
+		x.JobArrived(first - 10*time.Millisecond)
 		fmt.Fprintf(&trace, "%s\n", scenario.name)
 		for now := first; ; {
 			pause, owed := scenario.round(x, now)
--- a/decide/admission/exit.go
+++ b/decide/admission/exit.go
@@ -34,11 +34,11 @@
 // class allows instead of being cut, even if a round is late.
 const cutMargin = 50 * time.Millisecond
 
-// Last returns the latest deadline that a job may have.
-func (x *Exit) Last() time.Duration { return x.cutAt - cutMargin }
+// LatestDeadline returns the latest deadline that a job may have.
+func (x *Exit) LatestDeadline() time.Duration { return x.cutAt - cutMargin }
 
-// JobCame records that a job arrived, whether it was accepted or refused.
-func (x *Exit) JobCame(now time.Duration) { x.lastArrival = max(x.lastArrival, now) }
+// JobArrived records that a job arrived, whether it was accepted or refused.
+func (x *Exit) JobArrived(now time.Duration) { x.lastArrival = max(x.lastArrival, now) }
 
 // Round is called when a round is due. owed is the number of open jobs plus the connections with something unread or unsent. It
 // returns whether to cut all open jobs now, whether the process may exit, and when the next round is due.
