--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -29,9 +29,9 @@
 type Host interface {
 	State(ConnID) State
 	Unread(ConnID) bool       // reports whether received bytes were not read yet; it asks the kernel, so it is called only before a close
-	AskToLeave(ConnID)        // asks the client to send no new job on the connection; the host calls Told once this has been sent
+	AskToLeave(ConnID)        // asks the client to send no new job on the connection; the host calls LeaveRequestSent once this has been sent
 	End(ConnID, CloseReason)  // closes the connection at once; the Control forgets it with the call
-	IncompleteMessage(ConnID) // tells the client that its message was not completed; the host calls Went afterwards
+	IncompleteMessage(ConnID) // tells the client that its message was not completed; the host calls Closed afterwards
 }
 
 // CloseReason is the reason for which a connection was closed.
--- a/logic/budget_test.go
+++ b/logic/budget_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// earnedCounter wraps Limits and counts the jobs that are reported with Earned.
+// earnedCounter wraps Limits and counts the jobs that are reported with CountJob.
 type earnedCounter struct {
 	Limits
 	jobs int
