--- a/config/settings.go
+++ b/config/settings.go
@@ -166,10 +166,10 @@
 }
 
 // slownessAdapter adapts the estimates of decide/thin to the types of package logic.
-type slownessAdapter struct{ *thin.Book }
+type slownessAdapter struct{ *thin.Estimator }
 
 func (s slownessAdapter) Engine(location logic.Location, kind logic.KindName) logic.EngineSlowness {
-	return s.Book.Engine(thin.Location(location), thin.Kind(kind))
+	return s.Estimator.Engine(thin.Location(location), thin.Kind(kind))
 }
 
 // Module creates the decision module. decide/spread assigns its subset of engines, decide/limit enforces its limits, and
--- a/decide/thin/thin.go
+++ b/decide/thin/thin.go
@@ -18,8 +18,8 @@
 	Kind     string
 )
 
-// Book holds the estimates of one controller for all engines.
-type Book struct {
+// Estimator holds the estimates of one controller for all engines.
+type Estimator struct {
 	groups         map[groupKey]*group
 	overall        mean
 	noiseVariance  mean // variance of single answers around their engine's mean
@@ -44,18 +44,18 @@
 }
 
 // New returns an empty Book.
-func New() *Book { return &Book{groups: map[groupKey]*group{}} }
+func New() *Estimator { return &Estimator{groups: map[groupKey]*group{}} }
 
 // Engine estimates the slowness of one engine.
 type Engine struct {
-	book       *Book
+	book       *Estimator
 	group      *group
 	slowness   mean
 	lastAnswer time.Duration // time of the last answer
 }
 
 // Engine returns an Engine without answers. There are at most as many groups of similar engines as locations times kinds.
-func (b *Book) Engine(location Location, kind Kind) *Engine {
+func (b *Estimator) Engine(location Location, kind Kind) *Engine {
 	key := groupKey{location, kind}
 	if b.groups[key] == nil {
 		b.groups[key] = &group{}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -86,10 +86,10 @@
 }
 
 // slownessAdapter adapts decide/thin to Slowness.
-type slownessAdapter struct{ *thin.Book }
+type slownessAdapter struct{ *thin.Estimator }
 
 func (s slownessAdapter) Engine(l Location, k KindName) EngineSlowness {
-	return s.Book.Engine(thin.Location(l), thin.Kind(k))
+	return s.Estimator.Engine(thin.Location(l), thin.Kind(k))
 }
 
 // limitsAdapter adapts decide/limit to Limits, with no limit on customers' shares.
