--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -154,7 +154,7 @@
 	d.awaitingAnswer = true
 	d.callNumber++
 	// wait is how long the service may hold the call until there is a change.
-	call, wait := d.callNumber, c.stagger.Poll(d.pace.Wait-d.callDelay)
+	call, wait := d.callNumber, c.stagger.PollWait(d.pace.Wait-d.callDelay)
 	d.callDelay = 0
 	target := "/v1/events?SUB=" + strconv.FormatInt(d.lastEvent, 10) + "&wait=" +
 		strconv.FormatInt(int64(wait/time.Millisecond), 10)
@@ -361,7 +361,7 @@
 		c.logic.ListEnds(c.now)
 		return
 	}
-	c.schedule(c.now+c.stagger.Again(d.failures, d.pace.Pause), func() {
+	c.schedule(c.now+c.stagger.Backoff(d.failures, d.pace.Pause), func() {
 		if d.following && !d.awaitingAnswer && d.link == nil {
 			d.sendCall()
 		}
--- a/decide/spread/apart.go
+++ b/decide/spread/apart.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Apart computes jittered delays, so that the controllers of a fleet do not all act at the same time after a common event: calls
+// Jitter computes jittered delays, so that the controllers of a fleet do not all act at the same time after a common event: calls
 // for the list of engines that one event answered together, retries when discovery is unavailable, and the first attempts at an
 // engine that failed for all of them. Random delays depend on the seed alone. A place in a time span follows from the
 // controller's number and their count, so that the places of a fleet are even without communication.
-type Apart struct {
+type Jitter struct {
 	rng         *rand.Rand
 	number      int
 	controllers int
 }
 
-// NewApart returns an Apart for the controller with the given number, counted from 0, of the given number of controllers.
-func NewApart(controllers, number int, seed int64) *Apart {
-	return &Apart{rng: rand.New(rand.NewSource(seed)), number: max(number, 0), controllers: max(controllers, 1)}
+// NewJitter returns an Apart for the controller with the given number, counted from 0, of the given number of controllers.
+func NewJitter(controllers, number int, seed int64) *Jitter {
+	return &Jitter{rng: rand.New(rand.NewSource(seed)), number: max(number, 0), controllers: max(controllers, 1)}
 }
 
-// Place returns this controller's offset into a span. The offsets of all controllers lie evenly in it, and those of controllers
+// Offset returns this controller's offset into a span. The offsets of all controllers lie evenly in it, and those of controllers
 // with neighboring numbers lie far apart, so that any part of the fleet is spread as well. A single controller has offset 0.
-func (a *Apart) Place(span time.Duration) time.Duration {
+func (a *Jitter) Offset(span time.Duration) time.Duration {
 	if a.controllers == 1 {
 		return 0
 	}
@@ -36,9 +36,9 @@
 // duration after one round, and evenly after about four.
 const minPollFraction = 0.5
 
-// Poll returns a random time for which discovery may hold a call for a newer list, between minPollFraction of the longest time
+// PollWait returns a random time for which discovery may hold a call for a newer list, between minPollFraction of the longest time
 // and all of it.
-func (a *Apart) Poll(longest time.Duration) time.Duration {
+func (a *Jitter) PollWait(longest time.Duration) time.Duration {
 	return time.Duration((minPollFraction + (1-minPollFraction)*a.rng.Float64()) * float64(longest))
 }
 
@@ -46,10 +46,10 @@
 // double.
 const firstBackoff = 50 * time.Millisecond
 
-// Again returns the backoff before the next attempt after the given number of failures in a row, counted from 1. It doubles up to
+// Backoff returns the backoff before the next attempt after the given number of failures in a row, counted from 1. It doubles up to
 // longest (decide/watch), which applies from the fourth failure on, and is random between half of that delay and one and a half
 // times of it.
-func (a *Apart) Again(failures int, longest time.Duration) time.Duration {
+func (a *Jitter) Backoff(failures int, longest time.Duration) time.Duration {
 	backoff := longest
 	if failures < 4 {
 		backoff = min(firstBackoff<<max(failures-1, 0), longest)
--- a/decide/spread/apart_test.go
+++ b/decide/spread/apart_test.go
@@ -16,7 +16,7 @@
 		from, count := rapid.IntRange(0, fleet-1).Draw(t, "from"), rapid.IntRange(1, fleet).Draw(t, "many")
 		var offsets []float64
 		for n := from; n < min(from+count, fleet); n++ {
-			offset := NewApart(fleet, n, int64(n)).Place(time.Second)
+			offset := NewJitter(fleet, n, int64(n)).Offset(time.Second)
 			if offset < 0 || offset >= time.Second {
 				t.Fatal(n, offset)
 			}
@@ -38,10 +38,10 @@
 // TestPolls guards against 300 controllers calling in step after one event answered all of them at the same time. For each second
 // after it, it compares the most calls in 50 ms with the mean, for random waits and for waits of the same length.
 func TestPolls(t *testing.T) {
-	peaks := func(wait func(a *Apart) time.Duration) (by [6]float64) {
+	peaks := func(wait func(a *Jitter) time.Duration) (by [6]float64) {
 		counts := make([]float64, 6*20)
 		for n := range 300 {
-			a := NewApart(300, n, int64(n))
+			a := NewJitter(300, n, int64(n))
 			for at := time.Duration(0); at < 6*time.Second; at += wait(a) {
 				counts[at/(50*time.Millisecond)]++
 			}
@@ -55,8 +55,8 @@
 		}
 		return by
 	}
-	random := peaks(func(a *Apart) time.Duration { return a.Poll(4 * time.Second / 3) })
-	equal := peaks(func(*Apart) time.Duration { return time.Second })
+	random := peaks(func(a *Jitter) time.Duration { return a.PollWait(4 * time.Second / 3) })
+	equal := peaks(func(*Jitter) time.Duration { return time.Second })
 	t.Logf("peak over mean by second: random waits %.1f, equal waits %.1f", random, equal)
 	if random[1] > 4 || random[4] > 2 || equal[4] < 15 {
 		t.Errorf("peak over mean by second: random waits %.1f, equal waits %.1f", random, equal)
@@ -68,10 +68,10 @@
 func TestAgain(t *testing.T) {
 	calls, length := 0, 10*time.Second
 	for n := range 300 {
-		a, failures := NewApart(300, n, int64(n)), 0
+		a, failures := NewJitter(300, n, int64(n)), 0
 		for at := time.Duration(0); at < length; calls++ {
 			failures++
-			backoff := a.Again(failures, 400*time.Millisecond)
+			backoff := a.Backoff(failures, 400*time.Millisecond)
 			if backoff <= 0 || backoff > 600*time.Millisecond {
 				t.Fatal(backoff)
 			}
