--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -44,7 +44,7 @@
 	go func() {
 		for range ticker.C {
 			jobs := countOpenJobs()
-			node.With(func(time.Duration) { fleetTally.Set(tally.Key{What: openJobsKey}, tally.Value(jobs)) })
+			node.With(func(time.Duration) { fleetTally.Set(tally.Key{Kind: openJobsKey}, tally.Value(jobs)) })
 		}
 	}()
 	var statusListener net.Listener
@@ -108,11 +108,11 @@
 	}
 	var sum tally.Sum
 	node.With(func(now time.Duration) {
-		sum = fleetTally.Sum(now, tally.Key{What: openJobsKey}, view.Fresh, present, 0)
+		sum = fleetTally.Sum(now, tally.Key{Kind: openJobsKey}, view.Fresh, present, 0)
 	})
 	result := fleetView{Name: string(view.Own.Name), StartTime: int64(view.Own.Life), Incarnation: view.Own.Turn, Contact: view.Contact.String(), ContactAge: view.Since,
 		Members: []memberView{}, BrokenLinks: [][2]string{}, Counts: view.Counts,
-		OpenJobs: fleetSum{int64(sum.Least), sum.Fresh, sum.Unknown, sum.Oldest}}
+		OpenJobs: fleetSum{int64(sum.Min), sum.Instances, sum.Unknown, sum.MaxAge}}
 	for _, link := range view.Missed {
 		result.BrokenLinks = append(result.BrokenLinks, [2]string{string(link.By), string(link.Whom)})
 	}
--- a/decide/tally/tally.go
+++ b/decide/tally/tally.go
@@ -24,8 +24,8 @@
 
 // Key identifies a counter: what is counted, and for which class, customer or engine.
 type Key struct {
-	What byte
-	Of   string
+	Kind  byte
+	Label string
 }
 
 // Value is the current value of a counter, never negative.
@@ -69,7 +69,7 @@
 	switch {
 	case v == old && (exists || v == 0):
 		return true
-	case len(k.Of) > maxNameBytes || v < 0 || !exists && len(t.own.values) >= maxKeys:
+	case len(k.Label) > maxNameBytes || v < 0 || !exists && len(t.own.values) >= maxKeys:
 		return false
 	case v == 0:
 		delete(t.own.values, k)
@@ -165,28 +165,28 @@
 
 // Sum is the sum of a counter over the fleet.
 type Sum struct {
-	Least   Value         // lower bound: this instance and all instances with a fresh report
-	Most    Value         // upper bound: Least plus the maximum of each unknown instance
-	Oldest  time.Duration // age of the oldest report included in Least
-	Fresh   int           // number of instances with a fresh report, including this one
-	Unknown int           // number of other instances present without a fresh report
+	Min       Value         // lower bound: this instance and all instances with a fresh report
+	Max       Value         // upper bound: Least plus the maximum of each unknown instance
+	MaxAge    time.Duration // age of the oldest report included in Least
+	Instances int           // number of instances with a fresh report, including this one
+	Unknown   int           // number of other instances present without a fresh report
 }
 
 // Sum adds up a counter. maxAge is the maximum age of a report that counts, present the other instances that membership
 // regards as alive or suspect, and maxEach the maximum value that an instance without a fresh report may have.
 func (t *Tally) Sum(now time.Duration, k Key, maxAge time.Duration, present []member.Name, maxEach Value) Sum {
-	s := Sum{Least: t.own.values[k], Fresh: 1}
+	s := Sum{Min: t.own.values[k], Instances: 1}
 	for _, name := range present {
 		e := t.others[name]
 		if e == nil || e.sentAt == never || now-e.sentAt > maxAge {
 			s.Unknown++
 			continue
 		}
-		s.Least += e.values[k]
-		s.Fresh++
-		s.Oldest = max(s.Oldest, now-e.sentAt)
+		s.Min += e.values[k]
+		s.Instances++
+		s.MaxAge = max(s.MaxAge, now-e.sentAt)
 	}
-	s.Most = s.Least + Value(s.Unknown)*maxEach
+	s.Max = s.Min + Value(s.Unknown)*maxEach
 	return s
 }
 
@@ -205,10 +205,10 @@
 	for k := range e.values {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b Key) int { return cmp.Or(cmp.Compare(a.What, b.What), cmp.Compare(a.Of, b.Of)) })
+	slices.SortFunc(keys, func(a, b Key) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Label, b.Label)) })
 	out = binary.AppendUvarint(out, uint64(len(keys)))
 	for _, k := range keys {
-		out = appendText(append(out, k.What), k.Of)
+		out = appendText(append(out, k.Kind), k.Label)
 		out = binary.AppendUvarint(out, uint64(e.values[k]))
 	}
 	return out
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -34,15 +34,15 @@
 	present := []member.Name{"b", "c"}
 	// Unsolicited message: the counter is known, its age is not.
 	a.Unpack(10*second, "b", 1, -1, b.Pack(0, "a", 400))
-	if s := a.Sum(10*second, openJobs, 5*second, present, 100); s != (Sum{Least: 3, Most: 203, Fresh: 1, Unknown: 2}) {
+	if s := a.Sum(10*second, openJobs, 5*second, present, 100); s != (Sum{Min: 3, Max: 203, Instances: 1, Unknown: 2}) {
 		t.Errorf("%+v", s)
 	}
 	// The same counter in an answer to a question sent half a second ago.
 	a.Unpack(11*second, "b", 1, second/2, b.Pack(second, "a", 400))
-	if s := a.Sum(12*second, openJobs, 5*second, present, 100); s != (Sum{Least: 7, Most: 107, Oldest: 3 * second / 2, Fresh: 2, Unknown: 1}) {
+	if s := a.Sum(12*second, openJobs, 5*second, present, 100); s != (Sum{Min: 7, Max: 107, MaxAge: 3 * second / 2, Instances: 2, Unknown: 1}) {
 		t.Errorf("%+v", s)
 	}
-	if s := a.Sum(20*second, openJobs, 5*second, present, 100); s.Least != 3 || s.Unknown != 2 {
+	if s := a.Sum(20*second, openJobs, 5*second, present, 100); s.Min != 3 || s.Unknown != 2 {
 		t.Errorf("an outdated report counts: %+v", s)
 	}
 	// The report of a new incarnation replaces that of the old one; a late report of the old one is ignored.
@@ -51,7 +51,7 @@
 	restarted.Set(openJobs, 1)
 	a.Unpack(21*second, "b", 2, 0, restarted.Pack(0, "a", 400))
 	a.Unpack(21*second, "b", 1, 0, late)
-	if s := a.Sum(21*second, openJobs, 5*second, present, 0); s.Least != 4 {
+	if s := a.Sum(21*second, openJobs, 5*second, present, 0); s.Min != 4 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -63,7 +63,7 @@
 	a.Unpack(100*second, "b", 1, second, b.Pack(0, "a", 400))
 	c.Unpack(7*second, "a", 1, second, a.Pack(102*second, "c", 400))
 	s := c.Sum(8*second, openJobs, 10*second, []member.Name{"a", "b"}, 0)
-	if s.Least != 4 || s.Fresh != 3 || s.Oldest != 5*second { // at most 1 s to a, 2 s at a, 1 s to c, 1 s at c
+	if s.Min != 4 || s.Instances != 3 || s.MaxAge != 5*second { // at most 1 s to a, 2 s at a, 1 s to c, 1 s at c
 		t.Errorf("%+v", s)
 	}
 }
