--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -33,7 +33,7 @@
 	callNumber     int64
 	awaitingAnswer bool          // a call is in progress
 	callDelay      time.Duration // how long the next call was postponed, or 0
-	recentCalls    watch.Calls
+	recentCalls    watch.CallLimiter
 	following      bool
 	dials          map[int64]context.CancelFunc // in progress, by number
 	lastDial       int64                        // the newest number
--- a/decide/watch/watch.go
+++ b/decide/watch/watch.go
@@ -30,8 +30,8 @@
 // period allows it.
 const maxPause = 400 * time.Millisecond
 
-// For returns the Pace for a grace period; 0 or less means DefaultGrace.
-func For(grace time.Duration) Pace {
+// NewPace returns the Pace for a grace period; 0 or less means DefaultGrace.
+func NewPace(grace time.Duration) Pace {
 	if grace <= 0 {
 		grace = DefaultGrace
 	}
@@ -52,9 +52,9 @@
 	return since > 0 && since < maxArrival && quiet < p.Slack
 }
 
-// Calls limits the rate of the calls that follow answers. Discovery answers a call at each change, and a list of thousands of
+// CallLimiter limits the rate of the calls that follow answers. Discovery answers a call at each change, and a list of thousands of
 // engines changes hundreds of times a second.
-type Calls struct {
+type CallLimiter struct {
 	usedUntil time.Duration // time up to which the calls so far use the rate
 }
 
@@ -66,7 +66,7 @@
 )
 
 // Next counts a call and returns how long to wait before making it.
-func (c *Calls) Next(now time.Duration, pace Pace) (wait time.Duration) {
+func (c *CallLimiter) Next(now time.Duration, pace Pace) (wait time.Duration) {
 	interval := pace.Slack / callsPerSlack
 	c.usedUntil = max(c.usedUntil, now-burstCalls*interval) + interval
 	return max(c.usedUntil-now, 0)
--- a/decide/watch/watch_test.go
+++ b/decide/watch/watch_test.go
@@ -12,7 +12,7 @@
 func TestHeardInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(1, int64(time.Minute)).Draw(t, "grace"))
-		pace := For(grace)
+		pace := NewPace(grace)
 		if reserve := pace.Reserve(grace); reserve < time.Duration(0.249*float64(grace)) {
 			t.Errorf("%v of the grace period %v left for a second attempt", reserve, grace)
 		}
@@ -32,7 +32,7 @@
 		10000 * ms:  {maxWait, 1500 * ms, 1250 * ms, 400 * ms},
 		time.Second: {600 * ms, 150 * ms, 125 * ms, 200 * ms},
 	} {
-		if got := For(grace); got != want {
+		if got := NewPace(grace); got != want {
 			t.Errorf("%v: %+v, wanted %+v", grace, got, want)
 		}
 	}
@@ -41,8 +41,8 @@
 // TestCalls checks that a burst of calls is made at once and further ones no faster than the rate allows, and that after a quiet
 // period another burst is made at once.
 func TestCalls(t *testing.T) {
-	pace := For(2 * time.Second)
-	var calls Calls
+	pace := NewPace(2 * time.Second)
+	var calls CallLimiter
 	now, callCount := time.Hour, 0
 	for end := now + 4*time.Second; now < end; callCount++ {
 		wait := calls.Next(now, pace)
@@ -64,7 +64,7 @@
 
 // TestArriving checks that an answer counts as being received while its bytes arrive, but not forever.
 func TestArriving(t *testing.T) {
-	pace := For(2 * time.Second)
+	pace := NewPace(2 * time.Second)
 	for _, c := range []struct {
 		since, quiet time.Duration
 		want         bool
