--- a/controller/guard.go
+++ b/controller/guard.go
@@ -29,7 +29,7 @@
 	if class == nil || c.checksDisabled {
 		return true
 	}
-	repeat := invariant.Repeat{Now: c.now, Out: j.inFlight != nil, Ran: j.mayHaveRun, Window: class.DedupWindow, To: placeOf(to), Effect: effectOf(class),
+	repeat := invariant.Attempt{Now: c.now, Out: j.inFlight != nil, Ran: j.mayHaveRun, Window: class.DedupWindow, To: placeOf(to), Effect: effectOf(class),
 		Group: groupOf(class)}
 	return !c.reportViolation(repeat.Check(), "job", j.id, "engine", to.id, "attempts", j.attempts)
 }
@@ -61,16 +61,16 @@
 // checkEndedAttempt records whether an attempt may have run, and checks the time at which it was sent.
 func (c *Controller) checkEndedAttempt(a *attempt, outcome logic.Outcome) {
 	if outcome != logic.Refused && outcome != logic.NoConnection && outcome != logic.NotSent {
-		a.job.mayHaveRun = append(a.job.mayHaveRun, invariant.Ran{Sent: a.decidedAt, At: placeOf(a.engine)})
+		a.job.mayHaveRun = append(a.job.mayHaveRun, invariant.EarlierAttempt{Sent: a.decidedAt, At: placeOf(a.engine)})
 	}
 	sentAt := time.Duration(a.firstByteAt.Load())
 	if sentAt == 0 || c.checksDisabled {
 		return
 	}
-	send := invariant.Send{Left: sentAt, ClientGone: a.job.clientGoneAt, Drained: a.engine.drainingSince, Grace: c.cfg.Settings.DrainGrace,
+	send := invariant.Send{SentAt: sentAt, ClientGone: a.job.clientGoneAt, DrainedAt: a.engine.drainingSince, Grace: c.cfg.Settings.DrainGrace,
 		Deadline: a.deadline}
 	if send.Grace == 0 { // without a grace period discovery reports no drains here
-		send.Drained = 0
+		send.DrainedAt = 0
 	}
 	c.reportViolation(send.Check(), "job", a.job.id, "attempt", a.number, "engine", a.engine.id, "left", sentAt, "now", c.now)
 }
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -24,11 +24,11 @@
 	deadline       time.Duration // when the answer must be sent, by the same clock; 0 for a job that was refused on arrival
 	memoryMB       int64
 	priority       int
-	placement      logic.Placement // assigned by the operators' routes, or nil
-	attempts       int             // number of attempts decided so far
-	inFlight       *attempt        // the current attempt, or nil
-	lastSent       *attempt        // the last attempt that was put on a connection
-	mayHaveRun     []invariant.Ran // ended attempts that may have run
+	placement      logic.Placement            // assigned by the operators' routes, or nil
+	attempts       int                        // number of attempts decided so far
+	inFlight       *attempt                   // the current attempt, or nil
+	lastSent       *attempt                   // the last attempt that was put on a connection
+	mayHaveRun     []invariant.EarlierAttempt // ended attempts that may have run
 	// when the client was known to be gone, 0 if it is not
 	clientGoneAt time.Duration
 	// Connections that have carried the job's id. They are not used for it again, so that a late answer to one attempt is
--- a/decide/invariant/invariant.go
+++ b/decide/invariant/invariant.go
@@ -46,9 +46,9 @@
 
 // Send describes an attempt that was sent.
 type Send struct {
-	Left       time.Duration // when the first byte of the attempt was sent
+	SentAt     time.Duration // when the first byte of the attempt was sent
 	ClientGone time.Duration // when the controller learned that the client had left, 0 if it has not
-	Drained    time.Duration // when the engine was told to accept no new jobs, 0 if it was not
+	DrainedAt  time.Duration // when the engine was told to accept no new jobs, 0 if it was not
 	Grace      time.Duration // time allowed for acting on Drained
 	Deadline   time.Duration // deadline of the attempt
 }
@@ -56,11 +56,11 @@
 // Check returns the rule that the attempt broke when it was sent, or None.
 func (s Send) Check() Violation {
 	switch {
-	case s.ClientGone > 0 && s.Left > s.ClientGone+clientGrace:
+	case s.ClientGone > 0 && s.SentAt > s.ClientGone+clientGrace:
 		return SentAfterClient
-	case s.Drained > 0 && s.Left > s.Drained+s.Grace:
+	case s.DrainedAt > 0 && s.SentAt > s.DrainedAt+s.Grace:
 		return SentAfterDrain
-	case s.Left > s.Deadline:
+	case s.SentAt > s.Deadline:
 		return SentPastDeadline
 	}
 	return None
@@ -92,17 +92,17 @@
 	Cell     int64
 }
 
-// Ran is an earlier attempt of a job that may have run, as its outcome does not prove that it did not.
-type Ran struct {
+// EarlierAttempt is an earlier attempt of a job that may have run, as its outcome does not prove that it did not.
+type EarlierAttempt struct {
 	Sent time.Duration
 	At   Place
 }
 
-// Repeat describes an attempt of a job, its first or a later one, that is about to be sent.
-type Repeat struct {
+// Attempt describes an attempt of a job, its first or a later one, that is about to be sent.
+type Attempt struct {
 	Now    time.Duration
-	Out    bool  // another attempt is in flight
-	Ran    []Ran // earlier attempts that may have run, the earliest first
+	Out    bool             // another attempt is in flight
+	Ran    []EarlierAttempt // earlier attempts that may have run, the earliest first
 	Effect Effect
 	Group  Group
 	Window time.Duration // time for which a key is known, counted from the earliest attempt
@@ -110,7 +110,7 @@
 }
 
 // Check returns the rule that the attempt would break, or None.
-func (r Repeat) Check() Violation {
+func (r Attempt) Check() Violation {
 	switch {
 	case r.Out:
 		return TwoAttempts
--- a/decide/invariant/invariant_test.go
+++ b/decide/invariant/invariant_test.go
@@ -9,11 +9,11 @@
 
 // TestSend checks an attempt that was sent in time, and each way in which one can be sent too late.
 func TestSend(t *testing.T) {
-	good := Send{Left: 1000 * ms, ClientGone: 900 * ms, Drained: 500 * ms, Grace: 500 * ms, Deadline: 1000 * ms}
+	good := Send{SentAt: 1000 * ms, ClientGone: 900 * ms, DrainedAt: 500 * ms, Grace: 500 * ms, Deadline: 1000 * ms}
 	for want, change := range map[Violation]func(*Send){
 		None:             func(*Send) {},
 		SentAfterClient:  func(s *Send) { s.ClientGone -= 1 },
-		SentAfterDrain:   func(s *Send) { s.Drained -= 1 },
+		SentAfterDrain:   func(s *Send) { s.DrainedAt -= 1 },
 		SentPastDeadline: func(s *Send) { s.Deadline -= 1 },
 	} {
 		s := good
@@ -21,7 +21,7 @@
 			t.Errorf("%+v: %v, wanted %v", s, s.Check(), want)
 		}
 	}
-	if v := (Send{Left: time.Hour, Deadline: time.Hour}).Check(); v != None { // the client has not left and the engine is not draining
+	if v := (Send{SentAt: time.Hour, Deadline: time.Hour}).Check(); v != None { // the client has not left and the engine is not draining
 		t.Error(v)
 	}
 }
@@ -29,20 +29,20 @@
 // TestRepeat checks which jobs may be sent again, by the effect of running them twice.
 func TestRepeat(t *testing.T) {
 	here, there := Place{"a", 1}, Place{"b", 2}
-	ran := []Ran{{100 * ms, here}, {200 * ms, here}}
+	ran := []EarlierAttempt{{100 * ms, here}, {200 * ms, here}}
 	for _, c := range []struct {
-		Repeat
+		Attempt
 		want Violation
 	}{
-		{Repeat{Effect: Harmful}, None},
-		{Repeat{Effect: Harmful, Ran: ran}, RepeatedUnsafe},
-		{Repeat{Effect: Harmless, Ran: ran}, None},
-		{Repeat{Effect: Harmless, Out: true}, TwoAttempts},
-		{Repeat{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, To: there}, None},
-		{Repeat{Effect: KnownByKey, Ran: ran, Now: 151 * ms, Window: 50 * ms}, RepeatedPastWindow},
-		{Repeat{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, Group: InLocation, To: there}, RepeatedElsewhere},
-		{Repeat{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, Group: InCell, To: there}, RepeatedElsewhere},
-		{Repeat{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, Group: InCell, To: here}, None},
+		{Attempt{Effect: Harmful}, None},
+		{Attempt{Effect: Harmful, Ran: ran}, RepeatedUnsafe},
+		{Attempt{Effect: Harmless, Ran: ran}, None},
+		{Attempt{Effect: Harmless, Out: true}, TwoAttempts},
+		{Attempt{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, To: there}, None},
+		{Attempt{Effect: KnownByKey, Ran: ran, Now: 151 * ms, Window: 50 * ms}, RepeatedPastWindow},
+		{Attempt{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, Group: InLocation, To: there}, RepeatedElsewhere},
+		{Attempt{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, Group: InCell, To: there}, RepeatedElsewhere},
+		{Attempt{Effect: KnownByKey, Ran: ran, Now: 150 * ms, Window: 50 * ms, Group: InCell, To: here}, None},
 	} {
 		if got := c.Check(); got != c.want {
 			t.Errorf("%+v: %v", c, got)
