--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -34,9 +34,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fleetTally := tally.New(member.Name(cfg.Name), member.Life(time.Now().UnixNano()), fleet.Members)
-	node, err = gossip.Start(gossip.Config{Cargo: map[byte]member.Cargo{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), Told: fleet.Told, Seeds: fleet.Seeds,
-		KeyFile: fleet.KeyFile, Period: fleet.Period, Most: fleet.Members, BytesPS: fleet.Traffic}, log.With("fleet", fleet.Name))
+	fleetTally := tally.New(member.Name(cfg.Name), member.Generation(time.Now().UnixNano()), fleet.Members)
+	node, err = gossip.Start(gossip.Config{Piggyback: map[byte]member.Piggyback{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), AdvertiseAddress: fleet.Told, Seeds: fleet.Seeds,
+		KeyFile: fleet.KeyFile, Period: fleet.Period, MaxMembers: fleet.Members, MaxBytesPerSecond: fleet.Traffic}, log.With("fleet", fleet.Name))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -44,7 +44,7 @@
 	go func() {
 		for range ticker.C {
 			jobs := countOpenJobs()
-			node.With(func(time.Duration) { fleetTally.Set(tally.Key{Kind: openJobsKey}, tally.Value(jobs)) })
+			node.DoLocked(func(time.Duration) { fleetTally.Set(tally.Key{Kind: openJobsKey}, tally.Value(jobs)) })
 		}
 	}()
 	var statusListener net.Listener
@@ -107,18 +107,18 @@
 		}
 	}
 	var sum tally.Sum
-	node.With(func(now time.Duration) {
-		sum = fleetTally.Sum(now, tally.Key{Kind: openJobsKey}, view.Fresh, present, 0)
+	node.DoLocked(func(now time.Duration) {
+		sum = fleetTally.Sum(now, tally.Key{Kind: openJobsKey}, view.MaxFreshAge, present, 0)
 	})
-	result := fleetView{Name: string(view.Own.Name), StartTime: int64(view.Own.Life), Incarnation: view.Own.Turn, Contact: view.Contact.String(), ContactAge: view.Since,
+	result := fleetView{Name: string(view.Own.Name), StartTime: int64(view.Own.Generation), Incarnation: view.Own.Incarnation, Contact: view.Contact.String(), ContactAge: view.ContactFor,
 		Members: []memberView{}, BrokenLinks: [][2]string{}, Counts: view.Counts,
 		OpenJobs: fleetSum{int64(sum.Min), sum.Instances, sum.Unknown, sum.MaxAge}}
-	for _, link := range view.Missed {
-		result.BrokenLinks = append(result.BrokenLinks, [2]string{string(link.By), string(link.Whom)})
+	for _, link := range view.BrokenLinks {
+		result.BrokenLinks = append(result.BrokenLinks, [2]string{string(link.From), string(link.To)})
 	}
 	for _, m := range view.Members {
-		result.Members = append(result.Members, memberView{string(m.Name), string(m.Address), int64(m.Life), m.Status.String(), m.Age, m.Hears,
-			m.Direct, string(m.By)})
+		result.Members = append(result.Members, memberView{string(m.Name), string(m.Address), int64(m.Generation), m.Status.String(), m.Age, m.SinceHeardUs,
+			m.SinceReceived, string(m.AccusedBy)})
 	}
 	return result
 }
--- a/decide/member/member.go
+++ b/decide/member/member.go
@@ -41,8 +41,8 @@
 	Name string
 	// Address is where a member receives messages.
 	Address string
-	// Life tells apart the processes that run under one name: the start time in ns, larger for later ones.
-	Life int64
+	// Generation tells apart the processes that run under one name: the start time in ns, larger for later ones.
+	Generation int64
 	// Seq numbers the requests (Ping, PingReq) of an instance.
 	Seq uint64
 )
@@ -79,12 +79,12 @@
 
 // Record is a membership update: the state of a member as one instance sees it.
 type Record struct {
-	Name    Name
-	Address Address
-	Life    Life
-	Turn    uint32 // incarnation number: how often the member has refuted a suspicion in this life
-	Status  Status
-	By      Name // the member that suspects it, if any
+	Name        Name
+	Address     Address
+	Generation  Generation
+	Incarnation uint32 // incarnation number: how often the member has refuted a suspicion in this life
+	Status      Status
+	AccusedBy   Name // the member that suspects it, if any
 }
 
 // Age reports how old the newest sign of life of a member was when the message was sent. Hash is the memberHash of the member.
@@ -117,20 +117,20 @@
 	Payloads    []Payload
 }
 
-// Payload is data of another module that is piggybacked on a message. Type is its key in Settings.Cargo.
+// Payload is data of another module that is piggybacked on a message. Type is its key in Settings.Piggyback.
 type Payload struct {
 	Type byte
 	Data []byte
 }
 
-// Cargo is a module whose data is piggybacked on messages. It must tolerate loss, delay, duplication and reordering.
-type Cargo interface {
+// Piggyback is a module whose data is piggybacked on messages. It must tolerate loss, delay, duplication and reordering.
+type Piggyback interface {
 	// Pack returns at most room bytes for a member, the most urgent data first, or nothing.
 	Pack(now time.Duration, to Name, room int) []byte
 	// Unpack takes data that a member sent. The data is no older than age; age is negative if no bound is known.
-	Unpack(now time.Duration, from Name, life Life, age time.Duration, data []byte)
-	// Gone is called when a member is declared gone or has left.
-	Gone(name Name)
+	Unpack(now time.Duration, from Name, life Generation, age time.Duration, data []byte)
+	// MemberGone is called when a member is declared gone or has left.
+	MemberGone(name Name)
 }
 
 // Host carries out what a Member decides. Member calls it from within its own methods.
@@ -153,16 +153,16 @@
 type Settings struct {
 	Name            Name
 	Address         Address
-	Life            Life
-	Seeds           []Address      // addresses to join through
-	Period          time.Duration  // protocol period, the time between probes; default 1 s
-	AckTimeout      time.Duration  // time for a direct probe to be answered before indirect probes are sent; default half a period
-	IndirectProbes  int            // members that are asked for an indirect probe; default 3
-	MaxMembers      int            // members that are kept; default 1,000
-	MaxUpdates      int            // updates in a message; default 8
-	MaxAges         int            // ages in an answer; default 64, which fit into a datagram together with most sets of updates
-	MaxPayloadBytes int            // bytes of payloads in a message; default 400
-	Cargo           map[byte]Cargo // modules whose data is piggybacked, by payload type
+	Generation      Generation
+	Seeds           []Address          // addresses to join through
+	Period          time.Duration      // protocol period, the time between probes; default 1 s
+	AckTimeout      time.Duration      // time for a direct probe to be answered before indirect probes are sent; default half a period
+	IndirectProbes  int                // members that are asked for an indirect probe; default 3
+	MaxMembers      int                // members that are kept; default 1,000
+	MaxUpdates      int                // updates in a message; default 8
+	MaxAges         int                // ages in an answer; default 64, which fit into a datagram together with most sets of updates
+	MaxPayloadBytes int                // bytes of payloads in a message; default 400
+	Piggyback       map[byte]Piggyback // modules whose data is piggybacked, by payload type
 }
 
 func (s *Settings) defaults() {
@@ -175,10 +175,10 @@
 // Info is what is known about a member.
 type Info struct {
 	Record
-	Age         time.Duration // upper bound on the age of its newest sign of life; negative if there is none
-	Hears       time.Duration // time since it last proved to receive this instance's messages directly; negative if never
-	Direct      time.Duration // time since its last message arrived, however long that was in transit; negative if never
-	StatusSince time.Duration // time at which the status was set
+	Age           time.Duration // upper bound on the age of its newest sign of life; negative if there is none
+	SinceHeardUs  time.Duration // time since it last proved to receive this instance's messages directly; negative if never
+	SinceReceived time.Duration // time since its last message arrived, however long that was in transit; negative if never
+	StatusSince   time.Duration // time at which the status was set
 }
 
 // peer is the state of another member. Times are on the clock that callers pass in, or never.
@@ -252,7 +252,7 @@
 	settings.defaults()
 	return &Member{host: host, settings: settings, rng: rand.New(rand.NewSource(seed)), peers: map[Name]*peer{},
 		requestedAt: map[Seq]time.Duration{}, relayed: map[Seq]relayedPing{},
-		own: Record{Name: settings.Name, Address: settings.Address, Life: settings.Life, Status: Alive}}
+		own: Record{Name: settings.Name, Address: settings.Address, Generation: settings.Generation, Status: Alive}}
 }
 
 // Start pings the seeds and schedules the first Tick.
@@ -289,7 +289,7 @@
 	_, _ = h.Write([]byte(r.Name)) // never fails
 	var lifeBytes [8]byte
 	for i := range lifeBytes {
-		lifeBytes[i] = byte(r.Life >> (8 * i))
+		lifeBytes[i] = byte(r.Generation >> (8 * i))
 	}
 	_, _ = h.Write(lifeBytes[:])
 	return h.Sum32()
@@ -488,7 +488,7 @@
 func (m *Member) suspect(now time.Duration, p *peer, accuser Name) {
 	if p.Status != Suspect {
 		p.accusers = p.accusers[:0]
-		p.By = accuser
+		p.AccusedBy = accuser
 		m.setStatus(now, p, Suspect)
 		p.ageWhenSuspected = min(now-p.lastAlive, m.MaxFreshAge())
 		p.suspicionDeadline = now + m.suspicionTimeout(p, 0)
@@ -550,14 +550,14 @@
 	p.Status, p.statusSince, p.timesSent = status, now, 0
 	if status != Suspect {
 		p.accusers = p.accusers[:0]
-		p.By = ""
+		p.AccusedBy = ""
 	}
 	if status == Gone {
-		p.By = m.own.Name
+		p.AccusedBy = m.own.Name
 	}
 	if status >= Gone {
-		for _, cargo := range m.settings.Cargo {
-			cargo.Gone(p.Name)
+		for _, cargo := range m.settings.Piggyback {
+			cargo.MemberGone(p.Name)
 		}
 	}
 	m.host.StatusChanged(now, m.info(now, p))
@@ -626,7 +626,7 @@
 	if p := m.peers[msg.To]; p != nil && p.Status == Alive {
 		bytesLeft := m.settings.MaxPayloadBytes
 		for payloadType := range 256 {
-			if cargo := m.settings.Cargo[byte(payloadType)]; cargo != nil {
+			if cargo := m.settings.Piggyback[byte(payloadType)]; cargo != nil {
 				if data := cargo.Pack(now, msg.To, bytesLeft); len(data) > 0 && len(data) <= bytesLeft {
 					msg.Payloads = append(msg.Payloads, Payload{byte(payloadType), data})
 					bytesLeft -= len(data)
@@ -700,7 +700,7 @@
 	if p == nil {
 		return // the member table is full
 	}
-	if msg.From.Life < p.Life {
+	if msg.From.Generation < p.Generation {
 		// A late message of an earlier process under this name, or one that still runs and is to learn that it was replaced.
 		if msg.Kind == Ping && p.Status == Alive {
 			m.send(now, msg.From.Address, Message{Kind: Nack, Seq: msg.Seq, Updates: []Record{p.Record}})
@@ -731,12 +731,12 @@
 		m.setStatus(now, p, Left)
 	}
 	for _, payload := range msg.Payloads {
-		if cargo := m.settings.Cargo[payload.Type]; cargo != nil {
+		if cargo := m.settings.Piggyback[payload.Type]; cargo != nil {
 			maxAge := time.Duration(-1)
 			if requestSentAt != never {
 				maxAge = now - requestSentAt
 			}
-			cargo.Unpack(now, p.Name, p.Life, maxAge, payload.Data)
+			cargo.Unpack(now, p.Name, p.Generation, maxAge, payload.Data)
 		}
 	}
 }
@@ -796,7 +796,7 @@
 	if requestSentAt == never {
 		return
 	}
-	if target := m.peers[msg.Target.Name]; target != nil && target.Life == msg.Target.Life {
+	if target := m.peers[msg.Target.Name]; target != nil && target.Generation == msg.Target.Generation {
 		m.recordAlive(now, target, requestSentAt) // it answered the helper, which was asked after the request was sent
 	}
 	if current := &m.probe; current.seq == msg.Seq && !current.done && (p.Name == current.target || msg.Target.Name == current.target) {
@@ -825,7 +825,7 @@
 // returns nil if the table is full of members that cannot be evicted.
 func (m *Member) findOrAdd(now time.Duration, r Record) *peer {
 	p := m.peers[r.Name]
-	if p != nil && r.Life <= p.Life {
+	if p != nil && r.Generation <= p.Generation {
 		return p
 	}
 	if p == nil {
@@ -838,7 +838,7 @@
 		i = m.rng.Intn(len(m.probeRound) + 1)
 		m.probeRound = slices.Insert(m.probeRound, i, r.Name)
 	}
-	r.Status, r.By = Unverified, ""
+	r.Status, r.AccusedBy = Unverified, ""
 	p = &peer{Record: r, hash: memberHash(r), lastAlive: never, heardUs: never, lastReceived: never, statusSince: now}
 	m.peers[r.Name] = p
 	return p
@@ -867,8 +867,8 @@
 // applySelfReport applies what a member says about itself. A higher incarnation number refutes a suspicion.
 func (m *Member) applySelfReport(now time.Duration, p *peer, r Record) {
 	p.Address = r.Address
-	if r.Turn > p.Turn {
-		p.Turn = r.Turn
+	if r.Incarnation > p.Incarnation {
+		p.Incarnation = r.Incarnation
 		if p.Status == Suspect || p.Status == Gone {
 			m.setStatus(now, p, Alive)
 		}
@@ -886,18 +886,18 @@
 		return // a member that has never been known here need not be added to be declared gone
 	}
 	p := m.findOrAdd(now, r)
-	if p == nil || r.Life < p.Life {
+	if p == nil || r.Generation < p.Generation {
 		return
 	}
 	switch {
-	case r.Turn > p.Turn && r.Status <= Alive: // the member has refuted a suspicion
+	case r.Incarnation > p.Incarnation && r.Status <= Alive: // the member has refuted a suspicion
 		m.applySelfReport(now, p, r)
-	case r.Status >= Suspect && r.Turn >= p.Turn && p.Status != Gone && p.Status != Left:
+	case r.Status >= Suspect && r.Incarnation >= p.Incarnation && p.Status != Gone && p.Status != Left:
 		// An accusation counts only without a recent sign of life: an instance that hears a member cannot be talked into
 		// declaring it gone.
 		if now-p.lastAlive > m.accusationImmunity() {
-			p.Turn = r.Turn
-			m.suspect(now, p, cmp.Or(r.By, sender))
+			p.Incarnation = r.Incarnation
+			m.suspect(now, p, cmp.Or(r.AccusedBy, sender))
 		}
 	}
 }
@@ -908,17 +908,17 @@
 // applyUpdateOnSelf refutes an accusation against this instance by raising its incarnation number above that of the accusation.
 func (m *Member) applyUpdateOnSelf(r Record) {
 	switch {
-	case r.Life > m.own.Life:
+	case r.Generation > m.own.Generation:
 		m.checkDisplaced(r)
-	case r.Life == m.own.Life && r.Status >= Suspect && r.Turn >= m.own.Turn:
-		m.own.Turn = r.Turn + 1
+	case r.Generation == m.own.Generation && r.Status >= Suspect && r.Incarnation >= m.own.Incarnation:
+		m.own.Incarnation = r.Incarnation + 1
 		m.adjustHealth(1)
 	}
 }
 
 // checkDisplaced resolves two instances under one name: the one that started later stays, the earlier one falls silent.
 func (m *Member) checkDisplaced(r Record) {
-	if r.Life > m.own.Life && !m.silent {
+	if r.Generation > m.own.Generation && !m.silent {
 		m.silent = true
 		m.host.Displaced(r)
 	}
@@ -942,7 +942,7 @@
 		return
 	}
 	p := m.findOrAdd(now, from)
-	if p == nil || from.Life < p.Life {
+	if p == nil || from.Generation < p.Generation {
 		return
 	}
 	p.lastReceived = now
--- a/decide/member/member_test.go
+++ b/decide/member/member_test.go
@@ -299,7 +299,7 @@
 	w.instances = append(w.instances, twin)
 	w.byAddress["twin"] = twin
 	twin.running = true
-	twin.member = New(twin, Settings{Name: nameOf(2), Address: "twin", Life: 101, Seeds: []Address{"i000"}}, 1)
+	twin.member = New(twin, Settings{Name: nameOf(2), Address: "twin", Generation: 101, Seeds: []Address{"i000"}}, 1)
 	twin.life = 101
 	twin.member.Start(twin.clock())
 	w.run(w.now + 30*second)
@@ -319,10 +319,10 @@
 			for n := range 9 {
 				msg := Message{Kind: Ping, Seq: 1, From: liar.member.own, To: nameOf(n)}
 				for other := range 9 {
-					msg.Updates = append(msg.Updates, Record{Name: nameOf(other), Address: Address(nameOf(other)), Life: 1, Turn: 1000, Status: Gone, By: nameOf(8)})
+					msg.Updates = append(msg.Updates, Record{Name: nameOf(other), Address: Address(nameOf(other)), Generation: 1, Incarnation: 1000, Status: Gone, AccusedBy: nameOf(8)})
 				}
 				for k := range 20 {
-					msg.Updates = append(msg.Updates, Record{Name: Name(strings.Repeat("x", 1+k)) + nameOf(round), Address: "nowhere", Life: 1, Status: Alive})
+					msg.Updates = append(msg.Updates, Record{Name: Name(strings.Repeat("x", 1+k)) + nameOf(round), Address: "nowhere", Generation: 1, Status: Alive})
 				}
 				liar.Send(Address(nameOf(n)), msg)
 			}
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -70,7 +70,7 @@
 		}
 		return now - t
 	}
-	return Info{Record: p.Record, Age: elapsed(p.lastAlive), Hears: elapsed(p.heardUs), Direct: elapsed(p.lastReceived),
+	return Info{Record: p.Record, Age: elapsed(p.lastAlive), SinceHeardUs: elapsed(p.heardUs), SinceReceived: elapsed(p.lastReceived),
 		StatusSince: p.statusSince}
 }
 
@@ -94,7 +94,7 @@
 }
 
 // BrokenLink is a link on which direct probes are not answered: By does not get answers of Whom directly, though both are alive.
-type BrokenLink struct{ By, Whom Name }
+type BrokenLink struct{ From, To Name }
 
 // BrokenLinks returns the broken links that this instance knows of, from its own probes and from what members report of theirs:
 // its own first, then sorted by the reporting member. A link that fails in one direction only is reported by both ends, as
--- a/decide/member/world_test.go
+++ b/decide/member/world_test.go
@@ -114,7 +114,7 @@
 func (i *instance) start() {
 	i.life++
 	i.running, i.paused, i.displaced, i.queued, i.gone = true, false, false, nil, map[Name]time.Duration{}
-	i.member = New(i, Settings{Name: nameOf(i.index), Address: Address(nameOf(i.index)), Life: Life(i.life),
+	i.member = New(i, Settings{Name: nameOf(i.index), Address: Address(nameOf(i.index)), Generation: Generation(i.life),
 		Seeds: []Address{Address(nameOf(0)), Address(nameOf(1))}}, i.rng.Int63())
 	i.member.Start(i.clock())
 }
--- a/decide/tally/tally.go
+++ b/decide/tally/tally.go
@@ -34,7 +34,7 @@
 // entry holds the counters that an instance reported about itself.
 type entry struct {
 	name       member.Name
-	life       member.Life
+	life       member.Generation
 	version    uint64
 	values     map[Key]Value
 	sentAt     time.Duration // the report was sent at this time or later; never if unknown
@@ -57,7 +57,7 @@
 const maxKeys, maxNameBytes = 64, 64
 
 // New returns the Tally of an instance that starts. It stores the reports of at most the given number of other instances.
-func New(name member.Name, life member.Life, maxInstances int) *Tally {
+func New(name member.Name, life member.Generation, maxInstances int) *Tally {
 	return &Tally{own: entry{name: name, life: life, version: 1, values: map[Key]Value{}},
 		others: map[member.Name]*entry{}, maxInstances: maxInstances}
 }
@@ -122,7 +122,7 @@
 
 // Unpack reads a message of another instance. asked is the maximum age of the message if it is an answer, and negative if it was
 // unsolicited.
-func (t *Tally) Unpack(now time.Duration, _ member.Name, _ member.Life, asked time.Duration, data []byte) {
+func (t *Tally) Unpack(now time.Duration, _ member.Name, _ member.Generation, asked time.Duration, data []byte) {
 	for len(data) > 0 {
 		e, rest, err := readEntry(data)
 		if err != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Gone removes an instance that membership has forgotten or regards as gone, so that it is no longer part of any sum.
-func (t *Tally) Gone(name member.Name) { delete(t.others, name) }
+// MemberGone removes an instance that membership has forgotten or regards as gone, so that it is no longer part of any sum.
+func (t *Tally) MemberGone(name member.Name) { delete(t.others, name) }
 
 // Sum is the sum of a counter over the fleet.
 type Sum struct {
@@ -261,7 +261,7 @@
 		return nil, nil, errMalformed
 	}
 	r.data = r.data[size:]
-	e.life, e.version = member.Life(life), r.uvarint()
+	e.life, e.version = member.Generation(life), r.uvarint()
 	if age := r.uvarint(); age > 0 {
 		e.sentAt = min(time.Duration(min(age-1, uint64(maxReportedAge/time.Millisecond)))*time.Millisecond, maxReportedAge)
 	}
--- a/decide/tally/tally_test.go
+++ b/decide/tally/tally_test.go
@@ -76,12 +76,12 @@
 		type sent struct {
 			to   int
 			from member.Name
-			life member.Life
+			life member.Generation
 			at   time.Duration // time of the question that the message answers
 			data []byte
 		}
 		all, lastSent := make([]*Tally, count), make([]map[string]time.Duration, count) // by life and version: when it was last sent
-		lives := make([]member.Life, count)
+		lives := make([]member.Generation, count)
 		for n := range all {
 			lives[n], lastSent[n] = 1, map[string]time.Duration{}
 			all[n] = New(nameOf(n), 1, 10)
@@ -127,7 +127,7 @@
 					// sentAt must not be after the last time at which this version or an earlier one of the same life was sent.
 					last := time.Duration(0)
 					for key, at := range lastSent[m] {
-						var life member.Life
+						var life member.Generation
 						var version uint64
 						_, _ = fmt.Sscan(key, &life, &version)
 						if life == e.life && version <= e.version {
--- a/member/gossip/codec.go
+++ b/member/gossip/codec.go
@@ -101,12 +101,12 @@
 
 // toRecord converts a record to its form on the wire; toMember converts it back.
 func toRecord(r member.Record) record {
-	return record{string(r.Name), string(r.Address), int64(r.Life), r.Turn, int8(r.Status), string(r.By)}
+	return record{string(r.Name), string(r.Address), int64(r.Generation), r.Incarnation, int8(r.Status), string(r.AccusedBy)}
 }
 
 func (r record) toMember() member.Record {
-	return member.Record{Name: member.Name(r.Name), Address: member.Address(r.Address), Life: member.Life(r.Life), Turn: r.Turn,
-		Status: member.Status(r.Status), By: member.Name(r.By)}
+	return member.Record{Name: member.Name(r.Name), Address: member.Address(r.Address), Generation: member.Generation(r.Life), Incarnation: r.Turn,
+		Status: member.Status(r.Status), AccusedBy: member.Name(r.By)}
 }
 
 func toRecords(records []member.Record) (out []record) {
--- a/member/gossip/gossip.go
+++ b/member/gossip/gossip.go
@@ -28,15 +28,15 @@
 
 // Config configures an instance.
 type Config struct {
-	Name    string
-	Listen  string                // UDP and TCP address to listen on, such as 10.0.0.4:7946
-	Told    string                // advertised address, at which others reach this instance; empty if it is Listen
-	Seeds   []string              // addresses to join through
-	KeyFile string                // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
-	Period  time.Duration         // protocol period, see member.Settings
-	Most    int                   // members that are kept
-	BytesPS int                   // bytes per second in datagrams, each for sending and receiving
-	Cargo   map[byte]member.Cargo // modules whose data is piggybacked, by payload type
+	Name              string
+	Listen            string                    // UDP and TCP address to listen on, such as 10.0.0.4:7946
+	AdvertiseAddress  string                    // advertised address, at which others reach this instance; empty if it is Listen
+	Seeds             []string                  // addresses to join through
+	KeyFile           string                    // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
+	Period            time.Duration             // protocol period, see member.Settings
+	MaxMembers        int                       // members that are kept
+	MaxBytesPerSecond int                       // bytes per second in datagrams, each for sending and receiving
+	Piggyback         map[byte]member.Piggyback // modules whose data is piggybacked, by payload type
 }
 
 // Counts are counters of an instance since its start.
@@ -45,7 +45,7 @@
 	Received      int64 `json:"Came"` // datagrams
 	SentBytes     int64 `json:"SentBytes"`
 	ReceivedBytes int64 `json:"CameBytes"`
-	RateLimited   int64 `json:"Bounded"` // datagrams not sent or not read because of Config.BytesPS
+	RateLimited   int64 `json:"Bounded"` // datagrams not sent or not read because of Config.MaxBytesPerSecond
 	Rejected      int64 `json:"Refused"` // messages of another key or version, replayed, or malformed
 	Exchanges     int64 `json:"Streams"` // full states received
 }
@@ -116,7 +116,7 @@
 		g.udp.Close()
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	advertised := cmp.Or(cfg.Told, cfg.Listen)
+	advertised := cmp.Or(cfg.AdvertiseAddress, cfg.Listen)
 	var seeds []member.Address
 	for _, seed := range cfg.Seeds {
 		if seed != advertised {
@@ -126,11 +126,11 @@
 	life := g.startedAt.UnixNano()
 	g.sender = senderNumber(cfg.Name, life)
 	for i := range g.buckets {
-		g.buckets[i].tokens = 2 * float64(cfg.BytesPS)
+		g.buckets[i].tokens = 2 * float64(cfg.MaxBytesPerSecond)
 	}
 	g.timer = time.AfterFunc(time.Hour, g.tick)
-	g.member = member.New(g, member.Settings{Name: member.Name(cfg.Name), Address: member.Address(advertised), Life: member.Life(life),
-		Seeds: seeds, Period: cfg.Period, MaxMembers: cfg.Most, Cargo: cfg.Cargo}, life)
+	g.member = member.New(g, member.Settings{Name: member.Name(cfg.Name), Address: member.Address(advertised), Generation: member.Generation(life),
+		Seeds: seeds, Period: cfg.Period, MaxMembers: cfg.MaxMembers, Piggyback: cfg.Piggyback}, life)
 	g.do(func(now time.Duration) { g.member.Start(now) })
 	go g.receive()
 	go g.accept()
@@ -217,7 +217,7 @@
 	if datagramHeaderBytes+len(encoded) > maxDatagramBytes {
 		return
 	}
-	if !g.buckets[0].take(g.now(), datagramHeaderBytes+len(encoded), g.cfg.BytesPS) {
+	if !g.buckets[0].take(g.now(), datagramHeaderBytes+len(encoded), g.cfg.MaxBytesPerSecond) {
 		g.counts.RateLimited++
 		return
 	}
@@ -244,7 +244,7 @@
 		level = slog.LevelWarn
 	}
 	g.logCalls = append(g.logCalls, func() {
-		g.log.Log(context.Background(), level, "member", "is", m.Status.String(), "who", string(m.Name), "life", int64(m.Life), "age", m.Age, "by", string(m.By))
+		g.log.Log(context.Background(), level, "member", "is", m.Status.String(), "who", string(m.Name), "life", int64(m.Generation), "age", m.Age, "by", string(m.AccusedBy))
 	})
 }
 
@@ -256,7 +256,7 @@
 // Displaced logs that a later instance runs under the name of this one.
 func (g *Gossip) Displaced(by member.Record) {
 	g.logCalls = append(g.logCalls, func() {
-		g.log.Error("a later instance runs under this name; this instance is no longer a member", "address", string(by.Address), "life", int64(by.Life))
+		g.log.Error("a later instance runs under this name; this instance is no longer a member", "address", string(by.Address), "life", int64(by.Generation))
 	})
 }
 
@@ -274,7 +274,7 @@
 		g.do(func(now time.Duration) {
 			g.counts.Received++
 			g.counts.ReceivedBytes += int64(n)
-			if !g.buckets[1].take(now, n, g.cfg.BytesPS) {
+			if !g.buckets[1].take(now, n, g.cfg.MaxBytesPerSecond) {
 				g.counts.RateLimited++
 				return
 			}
@@ -304,7 +304,7 @@
 	if m, err = decode(body[16:]); err != nil {
 		return m, err
 	}
-	if senderNumber(string(m.From.Name), int64(m.From.Life)) != sender {
+	if senderNumber(string(m.From.Name), int64(m.From.Generation)) != sender {
 		return m, errReplay
 	}
 	w := g.windows[sender]
@@ -457,28 +457,28 @@
 
 // View is a snapshot of what an instance knows.
 type View struct {
-	Own     member.Record
-	Contact member.Contact
-	Since   time.Duration // how long Contact has been so
-	Members []member.Info
-	Missed  []member.BrokenLink
-	Fresh   time.Duration // up to which age a sign of life counts as fresh
-	Counts  Counts
+	Own         member.Record
+	Contact     member.Contact
+	ContactFor  time.Duration // how long Contact has been so
+	Members     []member.Info
+	BrokenLinks []member.BrokenLink
+	MaxFreshAge time.Duration // up to which age a sign of life counts as fresh
+	Counts      Counts
 }
 
 // View returns what is known now, or the zero View once the instance is closed.
 func (g *Gossip) View() (v View) {
 	g.do(func(now time.Duration) {
 		contact, since := g.member.Contact(now)
-		v = View{Own: g.member.Own(), Contact: contact, Since: now - since, Members: g.member.Members(now),
-			Missed: g.member.BrokenLinks(), Fresh: g.member.MaxFreshAge(), Counts: g.counts}
+		v = View{Own: g.member.Own(), Contact: contact, ContactFor: now - since, Members: g.member.Members(now),
+			BrokenLinks: g.member.BrokenLinks(), MaxFreshAge: g.member.MaxFreshAge(), Counts: g.counts}
 	})
 	return v
 }
 
-// With runs f under the lock under which the methods of Config.Cargo are called, with the time on their clock. It does nothing
+// DoLocked runs f under the lock under which the methods of Config.Piggyback are called, with the time on their clock. It does nothing
 // once the instance is closed.
-func (g *Gossip) With(f func(now time.Duration)) { g.do(f) }
+func (g *Gossip) DoLocked(f func(now time.Duration)) { g.do(f) }
 
 // Leave announces to other members that this instance leaves, and closes it.
 func (g *Gossip) Leave() {
--- a/member/gossip/gossip_test.go
+++ b/member/gossip/gossip_test.go
@@ -17,9 +17,9 @@
 )
 
 // fullMessage is a message with all fields set.
-var fullMessage = member.Message{Kind: member.Ack, Seq: 1<<63 + 5, From: member.Record{Name: "a", Address: "10.0.0.1:1", Life: 99, Turn: 3, Status: member.Alive},
-	To: "b", Target: member.Record{Name: "c", Address: "10.0.0.3:1", Life: 1, Status: member.Suspect, By: "a"},
-	Updates:  []member.Record{{Name: "d", Address: "x", Life: 2, Status: member.Gone, By: "e"}, {Name: "f", Life: 3, Status: member.Alive}},
+var fullMessage = member.Message{Kind: member.Ack, Seq: 1<<63 + 5, From: member.Record{Name: "a", Address: "10.0.0.1:1", Generation: 99, Incarnation: 3, Status: member.Alive},
+	To: "b", Target: member.Record{Name: "c", Address: "10.0.0.3:1", Generation: 1, Status: member.Suspect, AccusedBy: "a"},
+	Updates:  []member.Record{{Name: "d", Address: "x", Generation: 2, Status: member.Gone, AccusedBy: "e"}, {Name: "f", Generation: 3, Status: member.Alive}},
 	Ages:     []member.Age{{Hash: 1 << 31, Age: 0}, {Hash: 2, Age: 1500 * ms}},
 	Payloads: []member.Payload{{Type: 7, Data: []byte("x")}}, Unreachable: []uint32{1, 1 << 31}}
 
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	m, err := decode(later)
-	if err != nil || m.Kind != member.Ping || m.From.Name != "a" || m.From.Life != 9 {
+	if err != nil || m.Kind != member.Ping || m.From.Name != "a" || m.From.Generation != 9 {
 		t.Error(m, err)
 	}
 }
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	listen := freeAddress(t)
-	g, err := Start(Config{Name: name, Listen: listen, Seeds: seeds, KeyFile: file, Period: 50 * ms, Most: 10, BytesPS: 100_000},
+	g, err := Start(Config{Name: name, Listen: listen, Seeds: seeds, KeyFile: file, Period: 50 * ms, MaxMembers: 10, MaxBytesPerSecond: 100_000},
 		slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 // TestReplay checks that a datagram is rejected when it arrives a second time, and when any of its bytes was changed.
 func TestReplay(t *testing.T) {
 	g := startInstance(t, "g", oldKey)
-	encoded, _ := encode(member.Message{Kind: member.Ping, Seq: 1, From: member.Record{Name: "x", Address: "127.0.0.1:1", Life: 5}})
+	encoded, _ := encode(member.Message{Kind: member.Ping, Seq: 1, From: member.Record{Name: "x", Address: "127.0.0.1:1", Generation: 5}})
 	sealed := make([]byte, datagramHeaderBytes, 200)
 	sender := senderNumber("x", 5)
 	for n := range 8 {
