--- a/cmd/yarrowbarrow/explain.go
+++ b/cmd/yarrowbarrow/explain.go
@@ -128,15 +128,15 @@
 	}
 	found := operators.Plan.Explain(&job, engines)
 	result := explanation{Job: lang.Describe(&job)}
-	for _, passed := range found.Passed {
-		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(passed.Route.Name), passed.Why})
+	for _, passed := range found.SkippedRoutes {
+		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(passed.Route.Name), passed.Mismatch})
 	}
 	if matched := found.Route; matched != nil {
 		result.Route, result.Policy, result.Limits = string(matched.Name), matched.Policy.Name, matched.Policy.Limits()
 		for _, poolView := range found.Pools {
 			pool := poolExplanation{Pool: string(poolView.Pool.Name), Overflow: string(poolView.Pool.Overflow)}
 			if cfg != nil {
-				pool.Engines, pool.OtherEngines, pool.EngineCount, pool.MeetsMinimum = poolView.Engines, poolView.Left, poolView.Stands, &poolView.Fit
+				pool.Engines, pool.OtherEngines, pool.EngineCount, pool.MeetsMinimum = poolView.Engines, poolView.NonMembers, poolView.Summary, &poolView.Healthy
 			}
 			result.Pools = append(result.Pools, pool)
 		}
--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -143,12 +143,12 @@
 		}
 		problem := fmt.Sprintf("route %q is never reached: ", s.name)
 		var related []Related
-		if len(u.Behind) == 0 {
+		if len(u.ShadowedBy) == 0 {
 			problem += "its match holds for no job"
 		} else {
 			problem += "the routes before it take all of it"
 		}
-		for index, blocker := range u.Behind {
+		for index, blocker := range u.ShadowedBy {
 			if index == 5 {
 				break
 			}
@@ -420,7 +420,7 @@
 		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q expands to more than %d alternatives", s.name, maxAlternatives),
 			"fewer pools and labels in one pool")
 	}
-	pool.Any = alternatives
+	pool.MemberSets = alternatives
 	if len(settings["id"].patternList())+len(settings["location"].patternList())+len(settings["kind"].patternList()) == 0 &&
 		settings["label"] == nil && settings["pools"] == nil && !c.hasUnreadableKey(s, "id", "location", "kind", "label", "pools") {
 		c.reportError(s.line, s.nameColumn, fmt.Sprintf("pool %q names no engines", s.name),
@@ -578,8 +578,8 @@
 			*target = time.Duration(value.quantity.Value)
 		}
 	}
-	setInt("dispatched", &policy.MostOut)
-	setInt("held", &policy.MostHeld)
+	setInt("dispatched", &policy.MaxInFlight)
+	setInt("held", &policy.MaxHeld)
 	if value := settings["rate"]; value != nil {
 		policy.Rate = value.quantity.perSecond()
 	}
@@ -590,22 +590,22 @@
 		}
 	}
 	if value := settings["further"]; value != nil {
-		policy.FurtherSet, policy.FurtherShare = true, value.quantity.fraction()
+		policy.RetryBudgetSet, policy.RetryBudgetShare = true, value.quantity.fraction()
 	}
-	setInt("further-free", &policy.FurtherFree)
-	setDuration("further-window", &policy.FurtherSpan)
+	setInt("further-free", &policy.RetryBudgetFloor)
+	setDuration("further-window", &policy.RetryBudgetWindow)
 	for _, key := range []string{"further-free", "further-window"} {
 		if value := settings[key]; value != nil && settings["further"] == nil && value.definedIn == s && !c.hasUnreadableKey(s, "further") {
 			c.reportWarning(value.line, value.column, key+" without further has no effect", "")
 		}
 	}
-	setDuration("further-wait", &policy.FurtherWait)
+	setDuration("further-wait", &policy.RetryDelay)
 	setDuration("repeat-window", &policy.RepeatWindow)
-	setDuration("fallback-wait", &policy.FallbackWait)
-	setDuration("return-wait", &policy.ReturnWait)
-	setDuration("return-over", &policy.ReturnOver)
+	setDuration("fallback-wait", &policy.FailoverDelay)
+	setDuration("return-wait", &policy.FailbackDelay)
+	setDuration("return-over", &policy.SlowStart)
 	if value := settings["no-pool"]; value != nil {
-		policy.EndWhenDown = value.names[0] == "end"
+		policy.RejectWhenDown = value.names[0] == "end"
 	}
 	if furtherWait, repeatWindow := settings["further-wait"], settings["repeat-window"]; furtherWait != nil && repeatWindow != nil &&
 		furtherWait.quantity.Value >= repeatWindow.quantity.Value &&
@@ -721,7 +721,7 @@
 // its waits must be below the deadline or the latency target of the class, and its repeat window must not exceed the dedup window.
 func (c *checker) checkAgainstPlatform(s *section, r *route.Route) {
 	for _, class := range c.platform.Classes {
-		if !r.Takes(route.Type, class.Name) {
+		if !r.MayMatchText(route.Type, class.Name) {
 			continue
 		}
 		checkLimit := func(key string, limit time.Duration, limitName string) {
@@ -757,13 +757,13 @@
 		})
 	}
 	reachable := slices.ContainsFunc(r.Pools, func(pool *route.Pool) bool {
-		return slices.ContainsFunc(pool.Any, func(members []route.Members) bool {
+		return slices.ContainsFunc(pool.MemberSets, func(members []route.Members) bool {
 			return !slices.ContainsFunc(members, func(member route.Members) bool {
 				return !compatible(member.Locations, class.Locations) || !compatible(member.Kinds, class.Kinds)
 			})
 		})
 	})
-	if poolSetting := c.settings[s]["pool"]; poolSetting != nil && len(r.Pools) > 0 && !reachable && len(r.Pools[0].Any) > 0 {
+	if poolSetting := c.settings[s]["pool"]; poolSetting != nil && len(r.Pools) > 0 && !reachable && len(r.Pools[0].MemberSets) > 0 {
 		c.reportError(poolSetting.line, poolSetting.columns[0],
 			fmt.Sprintf("jobs of type %q can go to no engine of this route's pools: it is allowed in %s",
 				class.Name, strings.Join(slices.Concat(class.Locations, class.Kinds), ", ")),
--- a/config/lang/diff.go
+++ b/config/lang/diff.go
@@ -82,10 +82,10 @@
 		}
 	}
 	changes = append(changes, movedRoutes(before, after)...)
-	rerouted, complete := before.Plan.Differences(after.Plan, func(a, b *route.Route) bool { return a.Goes() == b.Goes() })
+	rerouted, complete := before.Plan.RoutingChanges(after.Plan, func(a, b *route.Route) bool { return a.Describe() == b.Describe() })
 	for _, move := range rerouted {
-		changes = append(changes, Change{Type: "jobs", Kind: "route", Name: routeName(move.From), Old: move.From.Goes(),
-			New: move.To.Goes(), Example: Describe(&move.Example)})
+		changes = append(changes, Change{Type: "jobs", Kind: "route", Name: routeName(move.From), Old: move.From.Describe(),
+			New: move.To.Describe(), Example: Describe(&move.Example)})
 	}
 	return changes, complete
 }
@@ -116,7 +116,7 @@
 	if job.Memory >= 0 {
 		parts = append(parts, "memory = "+Quantity{size, job.Memory}.String())
 	}
-	return strings.Join(append(parts, "left = "+Quantity{duration, int64(job.Left)}.String()), ", ")
+	return strings.Join(append(parts, "left = "+Quantity{duration, int64(job.TimeLeft)}.String()), ", ")
 }
 
 // sectionSettings returns the settings of a section, and for a policy also those that it inherits.
@@ -184,7 +184,7 @@
 			common = append(common, r)
 		}
 	}
-	inOrder := route.Rising(common, func(r *route.Route) int { return oldIndex[r.Name] })
+	inOrder := route.LongestIncreasingSubsequence(common, func(r *route.Route) int { return oldIndex[r.Name] })
 	for index, r := range common {
 		if inOrder[index] {
 			continue
@@ -209,9 +209,9 @@
 }
 
 // ParseJob parses a job as Describe writes it: terms with =, separated by commas. Fields that are not given are empty or
-// route.Untold; the time left defaults to one minute.
+// route.Unknown; the time left defaults to one minute.
 func ParseJob(text string) (route.Job, error) {
-	job := route.Job{Tables: route.Untold, Cost: route.Untold, Memory: route.Untold, Left: time.Minute}
+	job := route.Job{Tables: route.Unknown, Cost: route.Unknown, Memory: route.Unknown, TimeLeft: time.Minute}
 	for _, part := range strings.Split(text, ",") {
 		if strings.TrimSpace(part) == "" {
 			continue
@@ -251,7 +251,7 @@
 		case route.Memory:
 			job.Memory = quantity.Value
 		case route.Left:
-			job.Left = time.Duration(quantity.Value)
+			job.TimeLeft = time.Duration(quantity.Value)
 		}
 	}
 	return job, nil
--- a/config/lang/fuzz_test.go
+++ b/config/lang/fuzz_test.go
@@ -204,7 +204,7 @@
 			if err != nil {
 				t.Fatalf("%s: %v", change.Example, err)
 			}
-			if from, to := before.Plan.Walk(&job).Goes(), after.Plan.Walk(&job).Goes(); from != change.Old || to != change.New {
+			if from, to := before.Plan.FindLinear(&job).Describe(), after.Plan.FindLinear(&job).Describe(); from != change.Old || to != change.New {
 				t.Fatalf("%s goes from %s to %s, not from %s to %s", change.Example, from, to, change.Old, change.New)
 			}
 			listed[[2]string{change.Old, change.New}] = true
@@ -213,8 +213,8 @@
 			job := route.Job{Type: rapid.SampledFrom([]string{"lookup", "load", "other"}).Draw(t, "type"),
 				Customer: rapid.SampledFrom([]string{"", "inegi", "censo-norte", "x"}).Draw(t, "customer"),
 				Tables:   rapid.Int64Range(-1, 25).Draw(t, "tables"), Cost: time.Duration(rapid.Int64Range(-1, 3e9).Draw(t, "cost")),
-				Memory: rapid.Int64Range(-1, 1e9).Draw(t, "memory"), Left: time.Duration(rapid.Int64Range(0, 1e11).Draw(t, "left"))}
-			if from, to := before.Plan.Walk(&job).Goes(), after.Plan.Walk(&job).Goes(); complete && (from != to) && !listed[[2]string{from, to}] {
+				Memory: rapid.Int64Range(-1, 1e9).Draw(t, "memory"), TimeLeft: time.Duration(rapid.Int64Range(0, 1e11).Draw(t, "left"))}
+			if from, to := before.Plan.FindLinear(&job).Describe(), after.Plan.FindLinear(&job).Describe(); complete && (from != to) && !listed[[2]string{from, to}] {
 				t.Fatalf("%s goes from %s to %s, which Diff does not list", Describe(&job), from, to)
 			}
 		}
--- a/config/lang/match.go
+++ b/config/lang/match.go
@@ -48,13 +48,13 @@
 	if len(operands) == 1 {
 		return operands[0]
 	}
-	return &route.Match{Op: op, Of: operands}
+	return &route.Match{Op: op, Operands: operands}
 }
 
 func (c *checker) buildNot(line *sourceLine, node *notNode) *route.Match {
 	switch {
 	case node.Not != nil:
-		return &route.Match{Op: route.Not, Of: []*route.Match{c.buildNot(line, node.Not)}}
+		return &route.Match{Op: route.Not, Operands: []*route.Match{c.buildNot(line, node.Not)}}
 	case node.Group != nil:
 		return c.buildMatch(line, node.Group)
 	}
@@ -100,7 +100,7 @@
 		c.checkKnownText(line, value.Pos.Column, match.Field, route.Pattern(word))
 	}
 	if node.Op == "!=" || node.NotIn {
-		return &route.Match{Op: route.Not, Of: []*route.Match{match}}
+		return &route.Match{Op: route.Not, Operands: []*route.Match{match}}
 	}
 	return match
 }
@@ -197,9 +197,9 @@
 	}
 	if node.NotIn {
 		// Like any comparison, not in does not hold for a job that does not state the field.
-		return &route.Match{Op: route.And, Of: []*route.Match{
+		return &route.Match{Op: route.And, Operands: []*route.Match{
 			{Op: route.In, Field: match.Field, Ranges: []route.Range{{From: 0, To: math.MaxInt64}}, Source: node.Field + " is stated"},
-			{Op: route.Not, Of: []*route.Match{match}}}}
+			{Op: route.Not, Operands: []*route.Match{match}}}}
 	}
 	return match
 }
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -25,7 +25,7 @@
 			c.now = c.clock()
 			c.logic = config.Module(benchHost{c}, cfg.Settings.Logic, 1)
 			if routes > 0 {
-				plan := &route.Plan{Pools: []*route.Pool{{Name: "p", Any: [][]route.Members{{{Locations: []route.Pattern{"east"}}}}}}}
+				plan := &route.Plan{Pools: []*route.Pool{{Name: "p", MemberSets: [][]route.Members{{{Locations: []route.Pattern{"east"}}}}}}}
 				for n := range routes {
 					plan.Routes = append(plan.Routes, &route.Route{Name: route.RouteName(fmt.Sprint("r", n)), Pools: plan.Pools,
 						Policy: route.NewPolicy("p"), Match: &route.Match{Op: route.In, Field: route.Customer,
@@ -41,7 +41,7 @@
 				c.logic.EngineListed(c.now, e.id, "east", "std", 0, logic.Up, 1, 0)
 			}
 			if c.router != nil {
-				c.router.ListEnds(c.now)
+				c.router.EngineListEnd(c.now)
 			}
 			c.logic.ListEnds(c.now)
 			b.ReportAllocs()
@@ -59,7 +59,7 @@
 					b.Fatal("not attempted")
 				}
 				if c.router != nil {
-					c.router.AttemptOver(c.now, route.JobID(j.id))
+					c.router.AttemptEnded(c.now, route.JobID(j.id))
 				}
 				c.logic.AttemptEnded(c.now, j.id, 0, "", logic.Done, 20*time.Millisecond, true, 20*time.Millisecond, 0, noLoad)
 				j.client = nil
@@ -76,7 +76,7 @@
 func (h benchHost) Attempt(id logic.JobID, _ logic.EngineID, _, _ time.Duration) {
 	h.c.jobs[id].attempts++
 	if h.c.router != nil {
-		h.c.router.Attempted(h.c.now, route.JobID(id))
+		h.c.router.AttemptStarted(h.c.now, route.JobID(id))
 	}
 }
 func (benchHost) SetTerms(logic.JobID, float64, int)      {}
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -118,7 +118,7 @@
 			c.removeUnlisted(listed)
 		}
 		if c.router != nil {
-			c.router.ListEnds(c.now)
+			c.router.EngineListEnd(c.now)
 		}
 		c.logic.ListEnds(c.now)
 	})
--- a/controller/faults.go
+++ b/controller/faults.go
@@ -120,7 +120,7 @@
 	if c.router != nil {
 		c.router = nil
 		c.adoptRoutes(c.plan, route.NewTable(c.plan, nil))
-		c.router.ListEnds(c.now)
+		c.router.EngineListEnd(c.now)
 	}
 	c.logic.ListBegins(c.now, logic.ListInitial)
 	for _, id := range sorted(c.engines) {
--- a/controller/host.go
+++ b/controller/host.go
@@ -30,7 +30,7 @@
 	j.inFlight = a
 	c.counts[attemptsDecided]++
 	if c.router != nil {
-		c.router.Attempted(c.now, route.JobID(id))
+		c.router.AttemptStarted(c.now, route.JobID(id))
 	}
 	if j.attempts > 1 {
 		c.trace("further attempt", "decided", "job", j.id, "attempt", a.number, "engine", to)
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -82,7 +82,7 @@
 		c.forgetJob(j)
 	} else if c.router != nil { // before the module, which must not send the job on to a pool that is down
 		previousPlacement := j.placement
-		if c.router.AttemptOver(c.now, route.JobID(j.id)); j.placement != previousPlacement {
+		if c.router.AttemptEnded(c.now, route.JobID(j.id)); j.placement != previousPlacement {
 			c.logic.PlacementChanged(c.now, j.id, j.placement, false)
 		}
 	}
@@ -193,7 +193,7 @@
 		c.jobBytes -= int64(len(j.statement))
 		j.statement = nil // timers may keep the job alive for seconds, as with pages
 		if c.router != nil {
-			c.router.JobOver(c.now, route.JobID(j.id))
+			c.router.JobEnded(c.now, route.JobID(j.id))
 		}
 	}
 }
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// TakeBack withdraws an unsent attempt whose pool drains, whether it waits for a connection or in an output queue.
-func (h routeHost) TakeBack(id route.JobID) {
+// WithdrawAttempt withdraws an unsent attempt whose pool drains, whether it waits for a connection or in an output queue.
+func (h routeHost) WithdrawAttempt(id route.JobID) {
 	h.c.runLater(func() {
 		if j := h.c.jobs[logic.JobID(id)]; j != nil && j.inFlight != nil {
 			h.c.withdrawAttempt(j.inFlight)
@@ -78,7 +78,7 @@
 }
 
 // StartTimer wakes the router after a delay, unless it has been replaced by then.
-func (h routeHost) WakeAfter(delay time.Duration) {
+func (h routeHost) StartTimer(delay time.Duration) {
 	r := h.c.router
 	h.c.schedule(h.c.now+delay, func() {
 		if h.c.router == r {
@@ -114,7 +114,7 @@
 // notifyRouter tells the router about an engine and whether it is in service.
 func (c *Controller) notifyRouter(e *engine) {
 	if c.router != nil {
-		c.router.EngineSeen(c.now, route.Engine{ID: route.EngineID(e.id), Location: string(e.location),
+		c.router.UpdateEngine(c.now, route.Engine{ID: route.EngineID(e.id), Location: string(e.location),
 			Kind: string(e.kind)}, e.state == logic.Up)
 	}
 }
@@ -126,19 +126,19 @@
 		return true
 	}
 	described := route.Job{Type: string(j.class), Customer: customer, Front: framedProtocol, Tables: tables,
-		Cost: route.Untold, Memory: route.Untold, Left: j.deadline - c.now}
+		Cost: route.Unknown, Memory: route.Unknown, TimeLeft: j.deadline - c.now}
 	if cost > 0 {
 		described.Cost = time.Duration(cost * float64(time.Millisecond))
 	}
 	if memoryMB > 0 {
 		described.Memory = int64(memoryMB * 1e6)
 	}
-	c.router.JobTaken(c.now, route.JobID(j.id), &described)
+	c.router.JobArrived(c.now, route.JobID(j.id), &described)
 	if c.jobs[j.id] != j {
 		return false
 	}
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		version, lane := c.router.Where(route.JobID(j.id))
+		version, lane := c.router.Placement(route.JobID(j.id))
 		if lane != nil {
 			name, main, extra := lane.Names()
 			c.logEvent(slog.LevelDebug, "routed", "job", j.id, "version", version, "route", name, "pool", main, "and", extra)
@@ -155,10 +155,10 @@
 	if c.router == nil {
 		return
 	}
-	c.router.Each(func(name route.RouteName, jobs, inFlight int, counts route.Counts) {
+	c.router.EachRoute(func(name route.RouteName, jobs, inFlight int, counts route.Counts) {
 		c.logEvent(slog.LevelInfo, "route", "route", name, "open", jobs, "out", inFlight, "taken", counts.Taken, "fallback", counts.Fallback,
 			"overflowed", counts.Overflowed, "moved", counts.Moved, "given_up", counts.GivenUp, "trials", counts.Trials,
-			"over_rate", counts.Refused[route.OverRate], "over_held", counts.Refused[route.OverHeld], "no_pool", counts.Refused[route.NoPool])
+			"over_rate", counts.Refused[route.OverRate], "over_held", counts.Refused[route.TooManyHeld], "no_pool", counts.Refused[route.NoPool])
 	})
 }
 
@@ -174,7 +174,7 @@
 func (c *Controller) Routes() (reports []RouteReport) {
 	c.withLock(func() {
 		if c.router != nil {
-			c.router.Each(func(name route.RouteName, jobs, inFlight int, counts route.Counts) {
+			c.router.EachRoute(func(name route.RouteName, jobs, inFlight int, counts route.Counts) {
 				reports = append(reports, RouteReport{string(name), jobs, inFlight, counts})
 			})
 		}
--- a/decide/route/compare.go
+++ b/decide/route/compare.go
@@ -74,15 +74,15 @@
 	return all
 }
 
-// Unreached is a route that no job can reach, because the routes before it take all jobs that it matches.
-type Unreached struct {
-	Route  *Route
-	Behind []*Route // the routes that take its jobs, in order; empty if no job at all satisfies its match
+// Unreachable is a route that no job can reach, because the routes before it take all jobs that it matches.
+type Unreachable struct {
+	Route      *Route
+	ShadowedBy []*Route // the routes that take its jobs, in order; empty if no job at all satisfies its match
 }
 
-// Unreached returns the routes that no job can reach. It leaves out routes whose match expands to too many boxes and
+// Unreachable returns the routes that no job can reach. It leaves out routes whose match expands to too many boxes and
 // those for which the analysis reaches its bounds; for all others the result is exact.
-func (p *Plan) Unreached() (found []Unreached) {
+func (p *Plan) Unreached() (found []Unreachable) {
 	index, table := newPlanIndex(p), NewTable(p, nil)
 	comparisons := 0
 	for n, r := range p.Routes {
@@ -129,26 +129,26 @@
 		if unknown || comparisons > maxComparisons {
 			continue
 		}
-		unreached := Unreached{Route: r}
+		unreached := Unreachable{Route: r}
 		slices.Sort(covering)
 		for _, m := range covering {
-			unreached.Behind = append(unreached.Behind, p.Routes[m])
+			unreached.ShadowedBy = append(unreached.ShadowedBy, p.Routes[m])
 		}
 		found = append(found, unreached)
 	}
 	return found
 }
 
-// Moved reports jobs that another version of the plan sends to another route.
-type Moved struct {
+// Reroute reports jobs that another version of the plan sends to another route.
+type Reroute struct {
 	From, To *Route // nil: no route
 	Example  Job
 }
 
-// Differences returns the pairs of a route of this version and one of a later version between which jobs move, each
+// RoutingChanges returns the pairs of a route of this version and one of a later version between which jobs move, each
 // with an example. alike reports whether two routes treat jobs alike; such pairs are left out. complete is false if
 // the analysis reached its bounds, so that pairs may be missing.
-func (p *Plan) Differences(later *Plan, alike func(a, b *Route) bool) (moved []Moved, complete bool) {
+func (p *Plan) RoutingChanges(later *Plan, alike func(a, b *Route) bool) (moved []Reroute, complete bool) {
 	index, laterIndex := newPlanIndex(p), newPlanIndex(later)
 	complete = true
 	comparisons := 0
@@ -179,7 +179,7 @@
 			for _, c := range common {
 				if job, found, known := c.example(); found {
 					reported[to] = true
-					moved = append(moved, Moved{from, to, job})
+					moved = append(moved, Reroute{from, to, job})
 					return
 				} else if !known {
 					complete = false
--- a/decide/route/explain.go
+++ b/decide/route/explain.go
@@ -8,24 +8,24 @@
 
 // Explanation is the route that a job takes, with the reasons why the routes before it do not take it.
 type Explanation struct {
-	Route  *Route // nil: no route matches
-	Passed []Passed
-	Pools  []PoolView // the pools of the route, in order
+	Route         *Route // nil: no route matches
+	SkippedRoutes []Skipped
+	Pools         []PoolView // the pools of the route, in order
 }
 
-// Passed is a route before the one that takes the job, with the term of its match that the job does not satisfy.
-type Passed struct {
-	Route *Route
-	Why   string
+// Skipped is a route before the one that takes the job, with the term of its match that the job does not satisfy.
+type Skipped struct {
+	Route    *Route
+	Mismatch string
 }
 
 // PoolView is a pool and its members among the given engines.
 type PoolView struct {
-	Pool    *Pool
-	Engines []EngineID
-	Left    int    // number of engines that are not members
-	Stands  string // number of members and the minimum, for display
-	Fit     bool   // whether the pool has its minimum of members
+	Pool       *Pool
+	Engines    []EngineID
+	NonMembers int    // number of engines that are not members
+	Summary    string // number of members and the minimum, for display
+	Healthy    bool   // whether the pool has its minimum of members
 }
 
 // Explain determines the route of a job and the members of its pools, and takes all given engines to be usable.
@@ -36,7 +36,7 @@
 			explanation.Route = r
 			break
 		}
-		explanation.Passed = append(explanation.Passed, Passed{r, why})
+		explanation.SkippedRoutes = append(explanation.SkippedRoutes, Skipped{r, why})
 	}
 	if explanation.Route == nil {
 		return explanation
@@ -47,15 +47,15 @@
 			if pool.Contains(&engines[index]) {
 				view.Engines = append(view.Engines, engines[index].ID)
 			} else {
-				view.Left++
+				view.NonMembers++
 			}
 		}
 		minEngines := max(pool.MinCount, 1)
 		if pool.MinShare > 0 {
 			minEngines = max(int(math.Ceil(pool.MinShare*float64(max(pool.Size, len(view.Engines)))-1e-9)), 1)
 		}
-		view.Fit = len(view.Engines) >= minEngines
-		view.Stands = fmt.Sprintf("%d engines, minimum %d", len(view.Engines), minEngines)
+		view.Healthy = len(view.Engines) >= minEngines
+		view.Summary = fmt.Sprintf("%d engines, minimum %d", len(view.Engines), minEngines)
 		explanation.Pools = append(explanation.Pools, view)
 	}
 	return explanation
@@ -68,13 +68,13 @@
 			descriptions = append(descriptions, fmt.Sprintf(format, args...))
 		}
 	}
-	add(p.MostOut > 0, "at most %d attempted", p.MostOut)
-	add(p.MostHeld > 0, "at most %d held", p.MostHeld)
+	add(p.MaxInFlight > 0, "at most %d attempted", p.MaxInFlight)
+	add(p.MaxHeld > 0, "at most %d held", p.MaxHeld)
 	add(p.Rate > 0, "%g jobs/s", p.Rate)
-	add(p.FurtherSet, "further attempts %g%% of jobs in %v and %d more", 100*p.FurtherShare, p.FurtherSpan, p.FurtherFree)
-	add(p.FurtherWait > 0, "further ones after %v", p.FurtherWait)
+	add(p.RetryBudgetSet, "further attempts %g%% of jobs in %v and %d more", 100*p.RetryBudgetShare, p.RetryBudgetWindow, p.RetryBudgetFloor)
+	add(p.RetryDelay > 0, "further ones after %v", p.RetryDelay)
 	add(p.RepeatWindow > 0, "repeats within %v", p.RepeatWindow)
-	add(p.FallbackWait > 0, "fallback after %v", p.FallbackWait.Round(time.Millisecond))
-	add(p.EndWhenDown, "ended when no pool is usable")
+	add(p.FailoverDelay > 0, "fallback after %v", p.FailoverDelay.Round(time.Millisecond))
+	add(p.RejectWhenDown, "ended when no pool is usable")
 	return descriptions
 }
--- a/decide/route/match.go
+++ b/decide/route/match.go
@@ -14,12 +14,12 @@
 	Tables                int64         // number of the table group, or Untold
 	Cost                  time.Duration // declared work as core time, or Untold
 	Memory                int64         // declared memory in bytes, or Untold
-	Left                  time.Duration // time to the deadline when the job arrived
+	TimeLeft              time.Duration // time to the deadline when the job arrived
 }
 
-// Untold marks a table group, a cost or a memory need that was not provided. It satisfies no comparison, so it
+// Unknown marks a table group, a cost or a memory need that was not provided. It satisfies no comparison, so it
 // satisfies the negation of each.
-const Untold = -1
+const Unknown = -1
 
 // Field is a property of a job that a term of a match tests.
 type Field int
@@ -62,7 +62,7 @@
 	case Memory:
 		return j.Memory
 	}
-	return int64(j.Left)
+	return int64(j.TimeLeft)
 }
 
 // Range is a closed range of integers: table group numbers, nanoseconds or bytes.
@@ -81,12 +81,12 @@
 
 // Match is a boolean expression over the fields of a job. The zero value and nil are satisfied by every job.
 type Match struct {
-	Op     Op
-	Of     []*Match // operands: one or more of And and Or, one of Not
-	Field  Field
-	Texts  []Pattern
-	Ranges []Range
-	Source string // the term as written in the operators' file, for explanations
+	Op       Op
+	Operands []*Match // operands: one or more of And and Or, one of Not
+	Field    Field
+	Texts    []Pattern
+	Ranges   []Range
+	Source   string // the term as written in the operators' file, for explanations
 
 	cache atomic.Pointer[boxCache]
 }
@@ -118,20 +118,20 @@
 	}
 	switch m.Op {
 	case And:
-		for _, operand := range m.Of {
+		for _, operand := range m.Operands {
 			if !operand.Matches(j) {
 				return false
 			}
 		}
 	case Or:
-		for _, operand := range m.Of {
+		for _, operand := range m.Operands {
 			if operand.Matches(j) {
 				return true
 			}
 		}
 		return false
 	case Not:
-		return !m.Of[0].Matches(j)
+		return !m.Operands[0].Matches(j)
 	case In:
 		if m.Field.isText() {
 			return matchesAny(m.Texts, j.text(m.Field))
@@ -149,14 +149,14 @@
 	}
 	switch m.Op {
 	case And:
-		for _, operand := range m.Of {
+		for _, operand := range m.Operands {
 			if mismatch := operand.Mismatch(j); mismatch != "" {
 				return mismatch
 			}
 		}
 	case Or:
 		mismatch := ""
-		for position, operand := range m.Of {
+		for position, operand := range m.Operands {
 			if position > 0 {
 				mismatch += ", nor "
 			}
@@ -164,14 +164,14 @@
 		}
 		return mismatch
 	case Not:
-		return "not (" + m.Of[0].describe() + ")"
+		return "not (" + m.Operands[0].describe() + ")"
 	}
 	return m.describe()
 }
 
 // describe returns the match in the words of the operators' file, as far as its terms have a Source.
 func (m *Match) describe() string {
-	if m.Source != "" || len(m.Of) == 0 {
+	if m.Source != "" || len(m.Operands) == 0 {
 		return m.Source
 	}
 	operator := " and "
@@ -179,10 +179,10 @@
 	case Or:
 		operator = " or "
 	case Not:
-		return "not (" + m.Of[0].describe() + ")"
+		return "not (" + m.Operands[0].describe() + ")"
 	}
 	text := ""
-	for position, operand := range m.Of {
+	for position, operand := range m.Operands {
 		if position > 0 {
 			text += operator
 		}
@@ -224,10 +224,10 @@
 	}
 	switch op {
 	case Not:
-		return m.Of[0].expand(!negated)
+		return m.Operands[0].expand(!negated)
 	case Or:
 		var result []box
-		for _, operand := range m.Of {
+		for _, operand := range m.Operands {
 			operandBoxes, ok := operand.expand(negated)
 			if result = append(result, operandBoxes...); !ok || len(result) > maxBoxes {
 				return nil, false
@@ -236,7 +236,7 @@
 		return result, true
 	case And:
 		result := []box{unrestrictedBox()}
-		for _, operand := range m.Of {
+		for _, operand := range m.Operands {
 			operandBoxes, ok := operand.expand(negated)
 			if !ok || len(result)*len(operandBoxes) > 16*maxBoxes {
 				return nil, false
@@ -288,7 +288,7 @@
 	numbers [numberFields][]Range // sorted and disjoint
 }
 
-var allNumbers = []Range{{Untold, math.MaxInt64}}
+var allNumbers = []Range{{Unknown, math.MaxInt64}}
 
 // unrestrictedBox returns the box of all jobs.
 func unrestrictedBox() (b box) {
@@ -397,7 +397,7 @@
 	pick := func(f Field) int64 {
 		ranges := b.numbers[f-Tables]
 		if ranges[0] == allNumbers[0] {
-			return Untold
+			return Unknown
 		}
 		if len(ranges) > 1 && ranges[0].To < 0 {
 			ranges = ranges[1:] // prefer a number to Untold
@@ -414,7 +414,7 @@
 		return selected.From
 	}
 	return Job{Type: values[Type], Customer: values[Customer], Front: values[Front], Tables: pick(Tables),
-		Cost: time.Duration(pick(Cost)), Memory: pick(Memory), Left: time.Duration(pick(Left))}
+		Cost: time.Duration(pick(Cost)), Memory: pick(Memory), TimeLeft: time.Duration(pick(Left))}
 }
 
 // tryExamples passes a few different jobs of the box to a function until it returns true, and reports whether it did.
@@ -461,7 +461,7 @@
 
 // complementRanges returns all numbers outside of normalized ranges, Untold included.
 func complementRanges(ranges []Range) (result []Range) {
-	start := int64(Untold)
+	start := int64(Unknown)
 	for _, excluded := range ranges {
 		if excluded.From > start {
 			result = append(result, Range{start, excluded.From - 1})
--- a/decide/route/meter.go
+++ b/decide/route/meter.go
@@ -33,7 +33,7 @@
 
 const (
 	OverRate Reason = iota
-	OverHeld
+	TooManyHeld
 	NoPool
 	reasons
 )
@@ -71,7 +71,7 @@
 // reservePlace reports whether one more job may be held. If not, it reserves a place that is expected to become free
 // and returns the time until then. Within maxReservation, no two refused jobs reserve the same place.
 func (m *meter) reservePlace(now time.Duration, p *Policy) (retryAfter time.Duration, ok bool) {
-	if p.MostHeld == 0 || m.openJobs-m.inFlight < p.MostHeld {
+	if p.MaxHeld == 0 || m.openJobs-m.inFlight < p.MaxHeld {
 		return 0, true
 	}
 	interval := time.Duration(m.meanInterval)
@@ -109,7 +109,7 @@
 
 // bucket returns the bucket of the current time. It resets the bucket if it was last used for an earlier time.
 func (m *meter) bucket(now time.Duration, p *Policy) *budgetBucket {
-	index := int64(now / max(p.FurtherSpan/(budgetBuckets-1), 1))
+	index := int64(now / max(p.RetryBudgetWindow/(budgetBuckets-1), 1))
 	current := &m.buckets[index%budgetBuckets]
 	if current.index != index {
 		*current = budgetBucket{index: index}
@@ -119,7 +119,7 @@
 
 // retryAllowed reports whether the retry budget of the route allows one more retry.
 func (m *meter) retryAllowed(now time.Duration, p *Policy) bool {
-	if !p.FurtherSet {
+	if !p.RetryBudgetSet {
 		return true
 	}
 	newest := m.bucket(now, p).index
@@ -132,5 +132,5 @@
 			}
 		}
 	}
-	return float64(retries+1) <= float64(p.FurtherFree)+p.FurtherShare*float64(jobs)
+	return float64(retries+1) <= float64(p.RetryBudgetFloor)+p.RetryBudgetShare*float64(jobs)
 }
--- a/decide/route/plan.go
+++ b/decide/route/plan.go
@@ -43,8 +43,8 @@
 
 // Pool is a named set of engines.
 type Pool struct {
-	Name PoolName
-	Any  [][]Members // an engine is a member if it meets all conditions of at least one inner list
+	Name       PoolName
+	MemberSets [][]Members // an engine is a member if it meets all conditions of at least one inner list
 	// MinCount is the minimum number of usable engines for the pool to be used. If MinShare is set, the minimum is that
 	// share of Size instead. If both are 0, it is one engine.
 	MinCount int
@@ -57,28 +57,28 @@
 
 // Contains reports whether an engine is a member of the pool.
 func (p *Pool) Contains(engine *Engine) bool {
-	return slices.ContainsFunc(p.Any, func(conditions []Members) bool {
+	return slices.ContainsFunc(p.MemberSets, func(conditions []Members) bool {
 		return !slices.ContainsFunc(conditions, func(condition Members) bool { return !condition.matches(engine) })
 	})
 }
 
 // Policy has the limits and waits of a route. A limit of zero is disabled.
 type Policy struct {
-	Name         string
-	MostOut      int           // maximum number of concurrent attempts
-	MostHeld     int           // maximum number of jobs held
-	Rate         float64       // jobs per second
-	Burst        float64       // size of the token bucket for Rate, in jobs; 0: the jobs of one second, at least 1
-	FurtherSet   bool          // whether the route has a retry budget of its own, given by the next three fields
-	FurtherShare float64       // retries allowed within FurtherSpan, as a share of the jobs admitted in it
-	FurtherFree  int           // retries allowed in addition to the share
-	FurtherSpan  time.Duration // sliding window of the retry budget
-	FurtherWait  time.Duration // delay from the end of an attempt to a retry
-	RepeatWindow time.Duration // time after its first attempt in which a job that may have run may be retried; 0: the class's
-	FallbackWait time.Duration // time that a pool must be below its minimum before its fallback is used
-	ReturnWait   time.Duration // time that a pool must be healthy again before it is used again
-	ReturnOver   time.Duration // time in which its share of new jobs then grows from none to all (slow start)
-	EndWhenDown  bool          // end jobs at once, and do not hold them, if no pool has a usable engine
+	Name              string
+	MaxInFlight       int           // maximum number of concurrent attempts
+	MaxHeld           int           // maximum number of jobs held
+	Rate              float64       // jobs per second
+	Burst             float64       // size of the token bucket for Rate, in jobs; 0: the jobs of one second, at least 1
+	RetryBudgetSet    bool          // whether the route has a retry budget of its own, given by the next three fields
+	RetryBudgetShare  float64       // retries allowed within RetryBudgetWindow, as a share of the jobs admitted in it
+	RetryBudgetFloor  int           // retries allowed in addition to the share
+	RetryBudgetWindow time.Duration // sliding window of the retry budget
+	RetryDelay        time.Duration // delay from the end of an attempt to a retry
+	RepeatWindow      time.Duration // time after its first attempt in which a job that may have run may be retried; 0: the class's
+	FailoverDelay     time.Duration // time that a pool must be below its minimum before its fallback is used
+	FailbackDelay     time.Duration // time that a pool must be healthy again before it is used again
+	SlowStart         time.Duration // time in which its share of new jobs then grows from none to all (slow start)
+	RejectWhenDown    bool          // end jobs at once, and do not hold them, if no pool has a usable engine
 }
 
 // Route sends the jobs that satisfy a match to the engines of a pool.
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// Walk returns the route of a job by trying each in order, or nil if none matches. Table.Find returns the same one.
-func (p *Plan) Walk(j *Job) *Route {
+// FindLinear returns the route of a job by trying each in order, or nil if none matches. Table.Find returns the same one.
+func (p *Plan) FindLinear(j *Job) *Route {
 	for _, r := range p.Routes {
 		if r.Match.Matches(j) {
 			return r
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// Goes describes the route and the pools that it sends its jobs to. A nil route allows any engine. Two routes with the
+// Describe describes the route and the pools that it sends its jobs to. A nil route allows any engine. Two routes with the
 // same description treat jobs alike.
-func (r *Route) Goes() string {
+func (r *Route) Describe() string {
 	if r == nil {
 		return "any engine"
 	}
@@ -136,12 +136,12 @@
 // over 5 s, a third of the time that an engine usually stays cold, because its engines are cold. The window of the
 // retry budget is that of rule 7 on most platforms.
 func NewPolicy(name string) Policy {
-	return Policy{Name: name, FurtherSpan: 10 * time.Second, ReturnWait: 2 * time.Second, ReturnOver: 5 * time.Second}
+	return Policy{Name: name, RetryBudgetWindow: 10 * time.Second, FailbackDelay: 2 * time.Second, SlowStart: 5 * time.Second}
 }
 
-// Takes reports whether the route's match can be satisfied by a job that has the given text in a field. It also
+// MayMatchText reports whether the route's match can be satisfied by a job that has the given text in a field. It also
 // reports true if the match expands to too many boxes to tell.
-func (r *Route) Takes(field Field, text string) bool {
+func (r *Route) MayMatchText(field Field, text string) bool {
 	boxes, ok := r.Match.allBoxes()
 	return !ok || slices.ContainsFunc(boxes, func(b box) bool { return b.texts[field].contains(text) })
 }
--- a/decide/route/pool.go
+++ b/decide/route/pool.go
@@ -72,10 +72,10 @@
 
 const (
 	inUse           poolStatus = iota
-	failoverPending            // below its minimum, but for less than FallbackWait: still used; "sinking" in logs
+	failoverPending            // below its minimum, but for less than FailoverDelay: still used; "sinking" in logs
 	down                       // below its minimum: fallbacks are used
-	failbackPending            // healthy again, but for less than ReturnWait: not used yet; "rising" in logs
-	rampingUp                  // takes a growing share of new jobs for ReturnOver; "returning" in logs
+	failbackPending            // healthy again, but for less than FailbackDelay: not used yet; "rising" in logs
+	rampingUp                  // takes a growing share of new jobs for SlowStart; "returning" in logs
 )
 
 func (s poolStatus) String() string {
@@ -106,13 +106,13 @@
 	case (u.status == failbackPending || u.status == rampingUp) && !healthy:
 		u.status = down
 	}
-	if u.status == failoverPending && now-u.statusSince >= policy.FallbackWait {
+	if u.status == failoverPending && now-u.statusSince >= policy.FailoverDelay {
 		u.status = down
 	}
-	if u.status == failbackPending && now-u.statusSince >= policy.ReturnWait {
+	if u.status == failbackPending && now-u.statusSince >= policy.FailbackDelay {
 		u.status, u.statusSince = rampingUp, now
 	}
-	if u.status == rampingUp && now-u.statusSince >= policy.ReturnOver {
+	if u.status == rampingUp && now-u.statusSince >= policy.SlowStart {
 		u.status = inUse
 	}
 	return u.status != previous
@@ -129,7 +129,7 @@
 	case inUse, failoverPending:
 		return 1
 	case rampingUp:
-		return float64(now-u.statusSince) / float64(max(policy.ReturnOver, 1))
+		return float64(now-u.statusSince) / float64(max(policy.SlowStart, 1))
 	}
 	return 0
 }
--- a/decide/route/random_test.go
+++ b/decide/route/random_test.go
@@ -35,9 +35,9 @@
 	}
 	switch op {
 	case And, Or:
-		return &Match{Op: op, Of: []*Match{randomMatch(t, depth-1), randomMatch(t, depth-1)}}
+		return &Match{Op: op, Operands: []*Match{randomMatch(t, depth-1), randomMatch(t, depth-1)}}
 	case Not:
-		return &Match{Op: op, Of: []*Match{randomMatch(t, depth-1)}}
+		return &Match{Op: op, Operands: []*Match{randomMatch(t, depth-1)}}
 	case All:
 		return &Match{}
 	}
@@ -62,7 +62,7 @@
 	return Job{Type: textGen.Draw(t, "type"), Customer: textGen.Draw(t, "customer"),
 		Front: textGen.Draw(t, "front"), Tables: numberGen.Draw(t, "tables"),
 		Cost: time.Duration(numberGen.Draw(t, "cost")), Memory: numberGen.Draw(t, "memory"),
-		Left: time.Duration(max(numberGen.Draw(t, "left"), 0))}
+		TimeLeft: time.Duration(max(numberGen.Draw(t, "left"), 0))}
 }
 
 func randomPlan(t *rapid.T, maxRoutes int) *Plan {
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -20,10 +20,10 @@
 	Move(job JobID, lane *Lane)
 	// GiveUp ends a held job that no pool can take any more.
 	GiveUp(job JobID)
-	// TakeBack withdraws the attempt of a job unless it has already been sent to the engine.
-	TakeBack(job JobID)
+	// WithdrawAttempt withdraws the attempt of a job unless it has already been sent to the engine.
+	WithdrawAttempt(job JobID)
 	// StartTimer schedules a call of Router.TimerDue.
-	WakeAfter(delay time.Duration)
+	StartTimer(delay time.Duration)
 	Log(line string)
 }
 
@@ -91,7 +91,7 @@
 // concurrent attempts.
 func (l *Lane) HasRoom() bool {
 	policy := &l.route.Policy
-	return (policy.MostOut == 0 || l.route.meter.inFlight < policy.MostOut) &&
+	return (policy.MaxInFlight == 0 || l.route.meter.inFlight < policy.MaxInFlight) &&
 		(l.primary == nil || len(l.primary.pool.members) > 0 || l.extra != nil && len(l.extra.pool.members) > 0)
 }
 
@@ -99,7 +99,7 @@
 // on an engine, or 0 if there was none; sinceLast is the time since its last attempt ended.
 func (l *Lane) Further(now, sinceFirst, sinceLast time.Duration) bool {
 	policy := &l.route.Policy
-	return sinceLast >= policy.FurtherWait && (policy.RepeatWindow == 0 || sinceFirst <= policy.RepeatWindow) &&
+	return sinceLast >= policy.RetryDelay && (policy.RepeatWindow == 0 || sinceFirst <= policy.RepeatWindow) &&
 		l.route.meter.retryAllowed(now, policy)
 }
 
@@ -184,7 +184,7 @@
 			for j := rs.firstJob; j != nil; j = j.next {
 				if l := j.lane; j.inFlight && l.primary != nil && l.primary.pool.removed &&
 					(l.extra == nil || l.extra.pool.removed) {
-					r.host.TakeBack(j.id)
+					r.host.WithdrawAttempt(j.id)
 				}
 			}
 		}
@@ -222,9 +222,9 @@
 	p.refreshCounts(r.now)
 }
 
-// EngineSeen adds, updates or removes one engine of the list of engines. available is false while the engine drains
-// and after it has left. The caller calls ListEnds after the last engine of an update.
-func (r *Router) EngineSeen(now time.Duration, properties Engine, available bool) {
+// UpdateEngine adds, updates or removes one engine of the list of engines. available is false while the engine drains
+// and after it has left. The caller calls EngineListEnd after the last engine of an update.
+func (r *Router) UpdateEngine(now time.Duration, properties Engine, available bool) {
 	r.now = now
 	e := r.engines[properties.ID]
 	if e == nil {
@@ -252,8 +252,8 @@
 	})
 }
 
-// ListEnds applies the preceding calls of EngineSeen to the pools and the jobs held for them.
-func (r *Router) ListEnds(now time.Duration) {
+// EngineListEnd applies the preceding calls of UpdateEngine to the pools and the jobs held for them.
+func (r *Router) EngineListEnd(now time.Duration) {
 	r.now = now
 	r.forEachPool(func(p *poolState) { r.applyPoolChange(p, func() { p.refreshCounts(now) }) })
 }
@@ -333,7 +333,7 @@
 func (r *Router) scheduleWake() {
 	if !r.wakeScheduled && (len(r.pendingOverflows) > 0 || len(r.timedRoutes) > 0) {
 		r.wakeScheduled = true
-		r.host.WakeAfter(sweepInterval)
+		r.host.StartTimer(sweepInterval)
 	}
 }
 
@@ -507,7 +507,7 @@
 	switch {
 	case best != nil:
 		return r.laneFor(rs, best, nil), false
-	case !anyLeft || rs.Policy.EndWhenDown:
+	case !anyLeft || rs.Policy.RejectWhenDown:
 		return nil, true
 	}
 	for _, use := range rs.poolUses {
@@ -519,7 +519,7 @@
 }
 
 // JobArrived handles a job that arrives: it finds the route and calls Host.Admit or Host.Refuse.
-func (r *Router) JobTaken(now time.Duration, id JobID, properties *Job) {
+func (r *Router) JobArrived(now time.Duration, id JobID, properties *Job) {
 	r.now = now
 	v := r.newestVersion()
 	var found *Route
@@ -533,14 +533,14 @@
 	rs := r.ensureRoute(v, found)
 	m := rs.meter
 	if retryAfter, ok := m.reservePlace(now, &rs.Policy); !ok {
-		m.Counts.Refused[OverHeld]++
-		r.host.Refuse(id, retryAfter, OverHeld)
+		m.Counts.Refused[TooManyHeld]++
+		r.host.Refuse(id, retryAfter, TooManyHeld)
 		return
 	}
 	lane, rejected := r.chooseLane(rs)
 	if rejected {
 		m.Counts.Refused[NoPool]++
-		r.host.Refuse(id, rs.Policy.ReturnWait, NoPool) // no pool is used again sooner than that
+		r.host.Refuse(id, rs.Policy.FailbackDelay, NoPool) // no pool is used again sooner than that
 		return
 	}
 	if retryAfter, ok := m.takeToken(now, &rs.Policy); !ok {
@@ -577,8 +577,8 @@
 	r.pendingOverflows = slices.Insert(r.pendingOverflows, at, pending)
 }
 
-// Attempted records that an attempt of a job begins.
-func (r *Router) Attempted(now time.Duration, id JobID) {
+// AttemptStarted records that an attempt of a job begins.
+func (r *Router) AttemptStarted(now time.Duration, id JobID) {
 	r.now = now
 	j := r.jobs[id]
 	if j == nil || j.inFlight {
@@ -593,10 +593,10 @@
 	m.recordDeparture(now)
 }
 
-// AttemptEnded records that the attempt of a job has ended. The job is held again, unless JobOver follows. The caller
+// AttemptEnded records that the attempt of a job has ended. The job is held again, unless JobEnded follows. The caller
 // calls AttemptEnded before it notifies the decision module, so that the job is reassigned before it can be retried in
 // its old lane.
-func (r *Router) AttemptOver(now time.Duration, id JobID) {
+func (r *Router) AttemptEnded(now time.Duration, id JobID) {
 	r.now = now
 	j := r.jobs[id]
 	if j == nil || !j.inFlight {
@@ -639,8 +639,8 @@
 	r.host.Move(j.id, lane)
 }
 
-// JobOver removes a job that has ended and has no attempt under way.
-func (r *Router) JobOver(now time.Duration, id JobID) {
+// JobEnded removes a job that has ended and has no attempt under way.
+func (r *Router) JobEnded(now time.Duration, id JobID) {
 	r.now = now
 	j := r.jobs[id]
 	if j == nil {
@@ -669,18 +669,18 @@
 	}
 }
 
-// Where returns the number of the version that an open job was admitted under and its lane, or 0 and nil for a job
+// Placement returns the number of the version that an open job was admitted under and its lane, or 0 and nil for a job
 // without a route.
-func (r *Router) Where(id JobID) (version int, lane *Lane) {
+func (r *Router) Placement(id JobID) (version int, lane *Lane) {
 	if j := r.jobs[id]; j != nil {
 		return j.route.version.number, j.lane
 	}
 	return 0, nil
 }
 
-// Each calls a function for each route that has had a job, sorted by name, with the number of open jobs, the number of
+// EachRoute calls a function for each route that has had a job, sorted by name, with the number of open jobs, the number of
 // those with an attempt under way, and the counters.
-func (r *Router) Each(report func(name RouteName, jobs, inFlight int, c Counts)) {
+func (r *Router) EachRoute(report func(name RouteName, jobs, inFlight int, c Counts)) {
 	for _, name := range sorted(r.meters) {
 		m := r.meters[name]
 		report(name, m.openJobs, m.inFlight, m.Counts)
--- a/decide/route/router_test.go
+++ b/decide/route/router_test.go
@@ -65,10 +65,10 @@
 	h.ended[j] = true
 	h.tracef("refuse %s: %s, back in %v", j, reason, retryAfter.Round(msec))
 }
-func (h *fakeHost) Move(j JobID, l *Lane) { h.lanes[j] = l; h.tracef("move %s: %s", j, formatLane(l)) }
-func (h *fakeHost) GiveUp(j JobID)        { h.ended[j] = true; h.tracef("give up %s", j) }
-func (h *fakeHost) TakeBack(j JobID)      { h.tracef("take back %s", j) }
-func (h *fakeHost) WakeAfter(delay time.Duration) {
+func (h *fakeHost) Move(j JobID, l *Lane)   { h.lanes[j] = l; h.tracef("move %s: %s", j, formatLane(l)) }
+func (h *fakeHost) GiveUp(j JobID)          { h.ended[j] = true; h.tracef("give up %s", j) }
+func (h *fakeHost) WithdrawAttempt(j JobID) { h.tracef("take back %s", j) }
+func (h *fakeHost) StartTimer(delay time.Duration) {
 	h.wakeAt = h.now + delay
 }
 func (h *fakeHost) Log(line string) { h.tracef("log: %s", line) }
@@ -88,9 +88,9 @@
 // listEngines adds or removes engines of the list. The location of an engine is the first letter of its id.
 func (h *fakeHost) listEngines(available bool, ids ...EngineID) {
 	for _, id := range ids {
-		h.router.EngineSeen(h.now, Engine{ID: id, Location: string(id[:1]), Kind: "k"}, available)
+		h.router.UpdateEngine(h.now, Engine{ID: id, Location: string(id[:1]), Kind: "k"}, available)
 	}
-	h.router.ListEnds(h.now)
+	h.router.EngineListEnd(h.now)
 }
 
 func (h *fakeHost) suspectEngines(suspected bool, ids ...EngineID) {
@@ -102,26 +102,26 @@
 // submitJobs submits jobs. The type of a job is its id without the digits at the end.
 func (h *fakeHost) submitJobs(ids ...JobID) {
 	for _, id := range ids {
-		h.router.JobTaken(h.now, id, &Job{Type: strings.TrimRight(string(id), "0123456789"), Tables: Untold, Cost: Untold,
-			Memory: Untold, Left: time.Second})
+		h.router.JobArrived(h.now, id, &Job{Type: strings.TrimRight(string(id), "0123456789"), Tables: Unknown, Cost: Unknown,
+			Memory: Unknown, TimeLeft: time.Second})
 	}
 }
 
 func (h *fakeHost) startAttempts(ids ...JobID) {
 	for _, id := range ids {
-		h.router.Attempted(h.now, id)
+		h.router.AttemptStarted(h.now, id)
 	}
 }
 
 func (h *fakeHost) endAttempts(ids ...JobID) {
 	for _, id := range ids {
-		h.router.AttemptOver(h.now, id)
+		h.router.AttemptEnded(h.now, id)
 	}
 }
 
 func (h *fakeHost) finishJobs(ids ...JobID) {
 	for _, id := range ids {
-		h.router.JobOver(h.now, id)
+		h.router.JobEnded(h.now, id)
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // poolAt returns a pool of the engines at a location.
 func poolAt(name PoolName, location Pattern, change func(*Pool)) *Pool {
-	p := &Pool{Name: name, Any: [][]Members{{{Locations: []Pattern{location}}}}}
+	p := &Pool{Name: name, MemberSets: [][]Members{{{Locations: []Pattern{location}}}}}
 	if change != nil {
 		change(p)
 	}
@@ -167,17 +167,17 @@
 
 func minHalf(p *Pool) { p.MinShare = 0.5 }
 
-// TestFallback checks that the fallback is used only after the pool has been below its minimum for FallbackWait, that
-// the pool is used again only after it has been healthy for ReturnWait, and that its share of new jobs then grows.
+// TestFallback checks that the fallback is used only after the pool has been below its minimum for FailoverDelay, that
+// the pool is used again only after it has been healthy for FailbackDelay, and that its share of new jobs then grows.
 func TestFallback(t *testing.T) {
 	h := newFakeHost(planWith(func(p *Policy) {
-		p.FallbackWait, p.ReturnWait, p.ReturnOver = 100*msec, 300*msec, 200*msec
+		p.FailoverDelay, p.FailbackDelay, p.SlowStart = 100*msec, 300*msec, 200*msec
 	}, poolAt("a", "a", minHalf), poolAt("b", "b", nil)))
 	h.listEngines(true, "a1", "a2", "a3", "a4", "b1")
 	h.submitJobs("j1")
 	h.listEngines(false, "a1", "a2", "a3")
 	h.advance(60 * msec)
-	h.listEngines(true, "a1", "a2") // before FallbackWait is over
+	h.listEngines(true, "a1", "a2") // before FailoverDelay is over
 	h.advance(60 * msec)
 	h.submitJobs("j2")
 	h.suspectEngines(true, "a1", "a2")
@@ -185,7 +185,7 @@
 	h.submitJobs("j3", "j4")
 	h.suspectEngines(false, "a1", "a2")
 	h.advance(200 * msec)
-	h.suspectEngines(true, "a1", "a2") // before ReturnWait is over
+	h.suspectEngines(true, "a1", "a2") // before FailbackDelay is over
 	h.advance(200 * msec)
 	h.suspectEngines(false, "a1", "a2")
 	h.advance(400 * msec)
@@ -197,7 +197,7 @@
 }
 
 // TestAllDown checks what happens without a usable pool: jobs are held until one of the pools has a usable engine or,
-// with EndWhenDown, are ended at once. If all pools are below their minimum, the one with the larger share of usable
+// with RejectWhenDown, are ended at once. If all pools are below their minimum, the one with the larger share of usable
 // engines is used.
 func TestAllDown(t *testing.T) {
 	h := newFakeHost(planWith(nil, poolAt("a", "a", minHalf), poolAt("b", "b", minHalf)))
@@ -208,7 +208,7 @@
 	h.submitJobs("j2")
 	h.listEngines(true, "b3")
 	h.advance(time.Second)
-	plan := planWith(func(p *Policy) { p.EndWhenDown = true }, poolAt("a", "a", nil))
+	plan := planWith(func(p *Policy) { p.RejectWhenDown = true }, poolAt("a", "a", nil))
 	h.router.Adopt(h.now, plan, NewTable(plan, h.router.Table()))
 	h.submitJobs("j3")
 	h.listEngines(true, "a1")
@@ -234,9 +234,9 @@
 // TestLimits checks that jobs over a limit are refused with the time at which there is room again, and that each
 // refused job gets a different time.
 func TestLimits(t *testing.T) {
-	plan := planWith(func(p *Policy) { p.Rate, p.Burst, p.MostOut = 10, 2, 1 })
+	plan := planWith(func(p *Policy) { p.Rate, p.Burst, p.MaxInFlight = 10, 2, 1 })
 	held := &Route{Name: "h", Match: &Match{Op: In, Field: Type, Texts: []Pattern{"h"}}, Policy: NewPolicy("h")}
-	held.Policy.MostHeld = 2
+	held.Policy.MaxHeld = 2
 	plan.Routes = append([]*Route{held}, plan.Routes...)
 	h := newFakeHost(plan)
 	h.submitJobs("j1", "j2", "j3", "j4", "j5")
@@ -261,8 +261,8 @@
 // TestFurther checks a route's own retry budget, the delay before a retry, and the window for jobs that may have run.
 func TestFurther(t *testing.T) {
 	h := newFakeHost(planWith(func(p *Policy) {
-		p.FurtherSet, p.FurtherShare, p.FurtherFree, p.FurtherSpan = true, 0.1, 1, 10*time.Second
-		p.FurtherWait, p.RepeatWindow = 50*msec, 2*time.Second
+		p.RetryBudgetSet, p.RetryBudgetShare, p.RetryBudgetFloor, p.RetryBudgetWindow = true, 0.1, 1, 10*time.Second
+		p.RetryDelay, p.RepeatWindow = 50*msec, 2*time.Second
 	}))
 	for n := range 10 {
 		h.submitJobs(JobID(fmt.Sprint("j", n)))
@@ -323,7 +323,7 @@
 		h.tracef("%d versions, %d jobs", kept, open)
 	}
 	// Pool a loses engine a1.
-	adopt(planWith(nil, &Pool{Name: "a", Any: [][]Members{{{IDs: []Pattern{"a2"}}}}}, poolAt("b", "b", nil)))
+	adopt(planWith(nil, &Pool{Name: "a", MemberSets: [][]Members{{{IDs: []Pattern{"a2"}}}}}, poolAt("b", "b", nil)))
 	h.tracef("j1 may go to a1 %v, a2 %v", h.lanes["j1"].Allows("a1"), h.lanes["j1"].Allows("a2"))
 	h.submitJobs("j4")
 	adopt(planWith(nil, poolAt("b", "b", nil))) // pool a is removed
@@ -358,7 +358,7 @@
 				pools = append(pools, poolAt(PoolName(use), use, func(p *Pool) {
 					p.MinShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "minimum")
 					if rapid.Bool().Draw(t, "ids") {
-						p.Any[0][0].IDs = []Pattern{"*1", "*2"}
+						p.MemberSets[0][0].IDs = []Pattern{"*1", "*2"}
 					}
 					if rapid.Bool().Draw(t, "overflow") {
 						p.Overflow, p.OverflowAfter = PoolName(rapid.SampledFrom(locations).Draw(t, "to")), 50*msec
@@ -366,10 +366,10 @@
 				}))
 			}
 			plan := planWith(func(p *Policy) {
-				p.MostOut = rapid.SampledFrom([]int{0, 2}).Draw(t, "out")
-				p.MostHeld = rapid.SampledFrom([]int{0, 3}).Draw(t, "held")
-				p.EndWhenDown = rapid.Bool().Draw(t, "end")
-				p.FallbackWait = rapid.SampledFrom([]time.Duration{0, 100 * msec}).Draw(t, "wait")
+				p.MaxInFlight = rapid.SampledFrom([]int{0, 2}).Draw(t, "out")
+				p.MaxHeld = rapid.SampledFrom([]int{0, 3}).Draw(t, "held")
+				p.RejectWhenDown = rapid.Bool().Draw(t, "end")
+				p.FailoverDelay = rapid.SampledFrom([]time.Duration{0, 100 * msec}).Draw(t, "wait")
 			}, pools...)
 			plan.Pools = slices.Clone(pools)
 			slices.SortFunc(plan.Pools, func(a, b *Pool) int { return stdcmp.Compare(a.Name, b.Name) })
@@ -452,7 +452,7 @@
 					} else {
 						held++
 					}
-					v, lane := h.router.Where(j)
+					v, lane := h.router.Placement(j)
 					if v != version || lane != h.lanes[j] || lane.route.version.number != version {
 						t.Fatalf("%s was admitted under version %d, but has version %d or a wrong lane", j, version, v)
 					}
@@ -520,9 +520,9 @@
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				h.router.JobTaken(h.now, "j", &jobs[i%len(jobs)])
-				h.router.Attempted(h.now, "j")
-				h.router.JobOver(h.now, "j")
+				h.router.JobArrived(h.now, "j", &jobs[i%len(jobs)])
+				h.router.AttemptStarted(h.now, "j")
+				h.router.JobEnded(h.now, "j")
 				i++
 			}
 		})
--- a/decide/route/table.go
+++ b/decide/route/table.go
@@ -187,7 +187,7 @@
 		}
 	}
 	entries := func(n int) []*entry { return t.entries[p.Routes[n].Name] }
-	for m, keep := range Rising(unchanged, func(n int) uint64 { return entries(n)[0].rank }) {
+	for m, keep := range LongestIncreasingSubsequence(unchanged, func(n int) uint64 { return entries(n)[0].rank }) {
 		if keep {
 			result[unchanged[m]] = entries(unchanged[m])
 		}
@@ -195,8 +195,8 @@
 	return result
 }
 
-// Rising marks the elements of a longest subsequence of a list whose values increase.
-func Rising[E any, V cmp.Ordered](list []E, value func(E) V) []bool {
+// LongestIncreasingSubsequence marks the elements of a longest subsequence of a list whose values increase.
+func LongestIncreasingSubsequence[E any, V cmp.Ordered](list []E, value func(E) V) []bool {
 	predecessor := make([]int, len(list))
 	var tails []int // for each length, the position that ends a subsequence with the lowest last value
 	for n, element := range list {
@@ -267,7 +267,7 @@
 		return m == other
 	}
 	return m.Op == other.Op && m.Field == other.Field && slices.Equal(m.Texts, other.Texts) &&
-		slices.Equal(m.Ranges, other.Ranges) && slices.EqualFunc(m.Of, other.Of, (*Match).equal)
+		slices.Equal(m.Ranges, other.Ranges) && slices.EqualFunc(m.Operands, other.Operands, (*Match).equal)
 }
 
 func (p *Pool) equal(other *Pool) bool {
@@ -276,7 +276,7 @@
 	}
 	return p == other || p.Name == other.Name && p.MinCount == other.MinCount && p.MinShare == other.MinShare &&
 		p.Size == other.Size && p.Overflow == other.Overflow && p.OverflowAfter == other.OverflowAfter &&
-		slices.EqualFunc(p.Any, other.Any, func(a, b []Members) bool { return slices.EqualFunc(a, b, sameMembers) })
+		slices.EqualFunc(p.MemberSets, other.MemberSets, func(a, b []Members) bool { return slices.EqualFunc(a, b, sameMembers) })
 }
 
 var hashSeed = maphash.MakeSeed()
@@ -490,7 +490,7 @@
 			}
 		}
 	}
-	bounds = append(bounds, Untold)
+	bounds = append(bounds, Unknown)
 	slices.Sort(bounds)
 	bounds = slices.Compact(bounds)
 	for {
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -18,8 +18,8 @@
 		table := NewTable(p, nil)
 		for range 3 {
 			for range 20 {
-				if j := randomJob(t); routeName(table.Find(&j)) != routeName(p.Walk(&j)) {
-					t.Fatalf("%+v: found route %s, want %s", j, routeName(table.Find(&j)), routeName(p.Walk(&j)))
+				if j := randomJob(t); routeName(table.Find(&j)) != routeName(p.FindLinear(&j)) {
+					t.Fatalf("%+v: found route %s, want %s", j, routeName(table.Find(&j)), routeName(p.FindLinear(&j)))
 				}
 			}
 			next := &Plan{Routes: slices.Clone(p.Routes)}
@@ -45,21 +45,21 @@
 	alike := func(a, b *Route) bool { return routeName(a) == routeName(b) }
 	rapid.Check(t, func(t *rapid.T) {
 		plan, later := randomPlan(t, 6), randomPlan(t, 6)
-		if own, _ := plan.Differences(plan, alike); len(own) > 0 {
+		if own, _ := plan.RoutingChanges(plan, alike); len(own) > 0 {
 			t.Fatalf("differences of a plan from itself: %+v", own)
 		}
-		moved, complete := plan.Differences(later, alike)
+		moved, complete := plan.RoutingChanges(later, alike)
 		for _, m := range moved {
-			if from, to := plan.Walk(&m.Example), later.Walk(&m.Example); from != m.From || to != m.To {
+			if from, to := plan.FindLinear(&m.Example), later.FindLinear(&m.Example); from != m.From || to != m.To {
 				t.Fatalf("example %+v moves from %s to %s, but is reported from %s to %s", m.Example, routeName(from),
 					routeName(to), routeName(m.From), routeName(m.To))
 			}
 		}
 		for range 50 {
 			j := randomJob(t)
-			from, to := plan.Walk(&j), later.Walk(&j)
+			from, to := plan.FindLinear(&j), later.FindLinear(&j)
 			if complete && !alike(from, to) &&
-				!slices.ContainsFunc(moved, func(m Moved) bool { return m.From == from && m.To == to }) {
+				!slices.ContainsFunc(moved, func(m Reroute) bool { return m.From == from && m.To == to }) {
 				t.Fatalf("%+v moves from %s to %s, which is not reported", j, routeName(from), routeName(to))
 			}
 		}
@@ -73,14 +73,14 @@
 		unreached := p.Unreached()
 		for range 50 {
 			j := randomJob(t)
-			if r := p.Walk(&j); slices.ContainsFunc(unreached, func(u Unreached) bool { return u.Route == r }) {
+			if r := p.FindLinear(&j); slices.ContainsFunc(unreached, func(u Unreachable) bool { return u.Route == r }) {
 				t.Fatalf("route %s is reported as unreached, but takes %+v", routeName(r), j)
 			}
 		}
 	})
 	typeIs := func(words ...Pattern) *Match { return &Match{Op: In, Field: Type, Texts: words} }
 	cost := func(from, to int64) *Match { return &Match{Op: In, Field: Cost, Ranges: []Range{{from, to}}} }
-	and := func(of ...*Match) *Match { return &Match{Op: And, Of: of} }
+	and := func(of ...*Match) *Match { return &Match{Op: And, Operands: of} }
 	for _, test := range []struct {
 		routes []*Match
 		want   string
@@ -90,7 +90,7 @@
 		{[]*Match{typeIs("a*"), typeIs("a*", "b")}, "[]"},
 		{[]*Match{cost(0, 9), cost(10, 20), and(cost(5, 15), typeIs("x"))}, "[r2 behind r0 r1]"},
 		{[]*Match{cost(0, 9), cost(11, 20), cost(5, 15)}, "[]"},
-		{[]*Match{and(typeIs("a"), cost(0, 9)), and(typeIs("a"), &Match{Op: Not, Of: []*Match{cost(0, 9)}}), typeIs("a")},
+		{[]*Match{and(typeIs("a"), cost(0, 9)), and(typeIs("a"), &Match{Op: Not, Operands: []*Match{cost(0, 9)}}), typeIs("a")},
 			"[r2 behind r0 r1]"},
 		{[]*Match{and(typeIs("a*"), typeIs("b*"))}, "[r0 behind]"},
 		{[]*Match{nil, typeIs("b*")}, "[r1 behind r0]"},
@@ -102,7 +102,7 @@
 		got := []string{}
 		for _, u := range p.Unreached() {
 			s := string(u.Route.Name) + " behind"
-			for _, b := range u.Behind {
+			for _, b := range u.ShadowedBy {
 				s += " " + string(b.Name)
 			}
 			got = append(got, s)
@@ -123,13 +123,13 @@
 		var m *Match
 		switch i % 10 {
 		case 0:
-			m = &Match{Op: And, Of: []*Match{oneOf(Type, types[i%4]),
+			m = &Match{Op: And, Operands: []*Match{oneOf(Type, types[i%4]),
 				{Op: In, Field: Tables, Ranges: []Range{{int64(i), int64(i + 5)}}}}}
 		case 1:
-			m = &Match{Op: And, Of: []*Match{oneOf(Customer, Pattern(fmt.Sprintf("org-%d-*", i))),
+			m = &Match{Op: And, Operands: []*Match{oneOf(Customer, Pattern(fmt.Sprintf("org-%d-*", i))),
 				{Op: In, Field: Cost, Ranges: []Range{{int64(time.Second), int64(time.Minute)}}}}}
 		default:
-			m = &Match{Op: And, Of: []*Match{oneOf(Type, types[i%4], types[(i+1)%4]),
+			m = &Match{Op: And, Operands: []*Match{oneOf(Type, types[i%4], types[(i+1)%4]),
 				oneOf(Customer, Pattern(fmt.Sprint("org-", i)))}}
 		}
 		p.Routes = append(p.Routes, &Route{Name: RouteName(fmt.Sprint("r", i)), Match: m})
@@ -138,7 +138,7 @@
 	return p, func(rng *rand.Rand) Job {
 		i := rng.Intn(n)
 		j := Job{Type: string(types[rng.Intn(4)]), Customer: fmt.Sprint("org-", i), Tables: int64(rng.Intn(2 * n)),
-			Cost: time.Duration(rng.Intn(1e10)), Left: time.Second}
+			Cost: time.Duration(rng.Intn(1e10)), TimeLeft: time.Second}
 		if i%10 == 1 {
 			j.Customer += "-sub"
 		}
@@ -159,8 +159,8 @@
 	}
 	rng := rand.New(rand.NewSource(1))
 	for range 2000 {
-		if j := job(rng); routeName(second.Find(&j)) != routeName(next.Walk(&j)) {
-			t.Fatalf("%+v: found route %s, want %s", j, routeName(second.Find(&j)), routeName(next.Walk(&j)))
+		if j := job(rng); routeName(second.Find(&j)) != routeName(next.FindLinear(&j)) {
+			t.Fatalf("%+v: found route %s, want %s", j, routeName(second.Find(&j)), routeName(next.FindLinear(&j)))
 		}
 	}
 	j := job(rng)
@@ -178,7 +178,7 @@
 		for i := range jobs {
 			jobs[i] = job(rng)
 		}
-		for kind, find := range map[string]func(*Job) *Route{"table": table.Find, "walk": p.Walk} {
+		for kind, find := range map[string]func(*Job) *Route{"table": table.Find, "walk": p.FindLinear} {
 			b.Run(fmt.Sprintf("%s/%d", kind, n), func(b *testing.B) {
 				b.ReportAllocs()
 				durations := make([]time.Duration, 0, 1<<16)
