--- a/controller/controller.go
+++ b/controller/controller.go
@@ -111,10 +111,10 @@
 	return c
 }
 
-// Decide replaces the module that makes the decisions, for baselines. With unguarded, the controller omits its own last
+// SetModule replaces the module that makes the decisions, for baselines. With unguarded, the controller omits its own last
 // check of an engine's state and its check against a second effect, for modules that break rules 2 and 3 to prove an
 // audit. Decide must be called before Run.
-func (c *Controller) Decide(newModule func(logic.Host, logic.Settings, int64) logic.Module, unguarded bool) {
+func (c *Controller) SetModule(newModule func(logic.Host, logic.Settings, int64) logic.Module, unguarded bool) {
 	c.newModule, c.checksDisabled = newModule, unguarded
 }
 
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -164,8 +164,8 @@
 
 // RouteReport holds a route's open jobs, its attempts in flight and its counts.
 type RouteReport struct {
-	Name      string
-	Open, Out int
+	Name           string
+	Open, InFlight int
 	route.Counts
 }
 
