--- a/cmd/yarrowbarrow/check.go
+++ b/cmd/yarrowbarrow/check.go
@@ -64,7 +64,7 @@
 	} else {
 		err = messages.Print(out)
 	}
-	if err == nil && messages.Errors() > 0 {
+	if err == nil && messages.ErrorCount() > 0 {
 		err = errFindings
 	}
 	return err
--- a/cmd/yarrowbarrow/explain.go
+++ b/cmd/yarrowbarrow/explain.go
@@ -127,7 +127,7 @@
 		engines = cfg.Engines()
 	}
 	found := operators.Plan.Explain(&job, engines)
-	result := explanation{Job: lang.Describe(&job)}
+	result := explanation{Job: lang.FormatJob(&job)}
 	for _, passed := range found.SkippedRoutes {
 		result.SkippedRoutes = append(result.SkippedRoutes, skippedRoute{string(passed.Route.Name), passed.Mismatch})
 	}
--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -34,9 +34,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fleetTally := tally.New(member.Name(cfg.Name), member.Generation(time.Now().UnixNano()), fleet.Members)
-	node, err = gossip.Start(gossip.Config{Piggyback: map[byte]member.Piggyback{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), AdvertiseAddress: fleet.Told, Seeds: fleet.Seeds,
-		KeyFile: fleet.KeyFile, Period: fleet.Period, MaxMembers: fleet.Members, MaxBytesPerSecond: fleet.Traffic}, log.With("fleet", fleet.Name))
+	fleetTally := tally.New(member.Name(cfg.Name), member.Generation(time.Now().UnixNano()), fleet.MaxMembers)
+	node, err = gossip.Start(gossip.Config{Piggyback: map[byte]member.Piggyback{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), AdvertiseAddress: fleet.AdvertiseAddress, Seeds: fleet.SeedAddresses,
+		KeyFile: fleet.KeyFile, Period: fleet.ProbePeriod, MaxMembers: fleet.MaxMembers, MaxBytesPerSecond: fleet.MaxBytesPerSecond}, log.With("fleet", fleet.Name))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -48,8 +48,8 @@
 		}
 	}()
 	var statusListener net.Listener
-	if fleet.Status != "" {
-		if statusListener, err = status.Serve(fleet.Status, func() any { return currentView(node, fleetTally) }); err != nil {
+	if fleet.StatusSocket != "" {
+		if statusListener, err = status.Serve(fleet.StatusSocket, func() any { return currentView(node, fleetTally) }); err != nil {
 			node.Close()
 			return nil, nil, err
 		}
--- a/config/config.go
+++ b/config/config.go
@@ -20,15 +20,15 @@
 
 // Config is the complete configuration of a controller at startup.
 type Config struct {
-	Name      string
-	Listen    string          // address for client connections
-	Discovery string          // address of the discovery service, the source of the list of engines
-	Known     json.RawMessage // discovery events up to the start, in the format of the discovery service
-	Seed      int64
-	Cores     float64
-	MemoryMB  int64
-	Sockets   int // limit on file descriptors
-	Settings  Settings
+	Name             string
+	Listen           string          // address for client connections
+	Discovery        string          // address of the discovery service, the source of the list of engines
+	InitialDiscovery json.RawMessage // discovery events up to the start, in the format of the discovery service
+	Seed             int64
+	Cores            float64
+	MemoryMB         int64
+	MaxDescriptors   int // limit on file descriptors
+	Settings         Settings
 	// Plan holds the routes of the operators' file; nil without a file.
 	Plan     *route.Plan
 	Fleet    *lang.Fleet   // peers of this instance; nil if it has none
@@ -87,7 +87,7 @@
 // Read parses and validates the text of a configuration file. A non-empty name or listen address overrides that of the file.
 func Read(raw []byte, name, listen string) (Config, error) {
 	// The defaults for limits that the file does not set are those of a small machine.
-	cfg := Config{Cores: 1, MemoryMB: 192, Sockets: 1024}
+	cfg := Config{Cores: 1, MemoryMB: 192, MaxDescriptors: 1024}
 	var file struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
@@ -104,18 +104,18 @@
 	if err := decode("", raw, &file); err != nil {
 		return cfg, err
 	}
-	cfg.Name, cfg.Listen, cfg.Discovery, cfg.Known = file.Name, file.Listen, file.Discovery, file.Known
+	cfg.Name, cfg.Listen, cfg.Discovery, cfg.InitialDiscovery = file.Name, file.Listen, file.Discovery, file.Known
 	overrideIfSet(&cfg.Name, name)
 	overrideIfSet(&cfg.Listen, listen)
 	setIfPresent(&cfg.Cores, file.Limits.Cores)
 	setIfPresent(&cfg.MemoryMB, file.Limits.MemoryMB)
-	setIfPresent(&cfg.Sockets, file.Limits.Sockets)
+	setIfPresent(&cfg.MaxDescriptors, file.Limits.Sockets)
 	seed, seedErr := strconv.ParseUint(file.Seed, 16, 64)
 	cfg.Seed = int64(seed)
 	if len(file.Settings) == 0 {
 		return cfg, invalidValue("settings", "", "an object")
 	}
-	if len(cfg.Known) == 0 {
+	if len(cfg.InitialDiscovery) == 0 {
 		return cfg, invalidValue("known", "", "the discovery events up to now")
 	}
 	var err error
@@ -130,20 +130,20 @@
 		checkValue(seedErr == nil, "seed", file.Seed, "up to 16 hex digits"),
 		checkValue(cfg.Cores > 0 && cfg.Cores <= 1024, "limits.cores", cfg.Cores, "more than 0, up to 1024"),
 		checkValue(cfg.MemoryMB >= 32, "limits.memory_mb", cfg.MemoryMB, "32 or more"),
-		checkValue(cfg.Sockets >= 64, "limits.sockets", cfg.Sockets, "64 or more"),
+		checkValue(cfg.MaxDescriptors >= 64, "limits.sockets", cfg.MaxDescriptors, "64 or more"),
 		checkValue(settings.ConnectTimeout > 0, "settings.permissions.connect_timeout", settings.ConnectTimeout, "above 0"),
 		checkValue(settings.IdleClose >= 0, "settings.permissions.idle_close", settings.IdleClose, "0 (never) or above"),
 		checkValue(settings.DrainGrace >= 0, "settings.safety.drain_grace", settings.DrainGrace, "0 (not specified) or above"),
-		checkValue(settings.Streams > 0, "settings.permissions.streams_per_conn", settings.Streams, "1 or more"),
-		checkValue(settings.OpenCap >= 0, "settings.permissions.open_cap", settings.OpenCap, "0 (no limit) or above"))
+		checkValue(settings.JobsPerConnection > 0, "settings.permissions.streams_per_conn", settings.JobsPerConnection, "1 or more"),
+		checkValue(settings.MaxOpenJobs >= 0, "settings.permissions.open_cap", settings.MaxOpenJobs, "0 (no limit) or above"))
 }
 
-// Differs returns the sorted keys whose values differ in next and that take effect only after a restart. The address of
+// RestartKeys returns the sorted keys whose values differ in next and that take effect only after a restart. The address of
 // discovery can change at runtime; the seed and the known events matter only at startup, so they are not compared.
-func (c Config) Differs(next Config) (keys []string) {
+func (c Config) RestartKeys(next Config) (keys []string) {
 	for key, differs := range map[string]bool{
 		"name": c.Name != next.Name, "listen": c.Listen != next.Listen, "limits.cores": c.Cores != next.Cores,
-		"limits.memory_mb": c.MemoryMB != next.MemoryMB, "limits.sockets": c.Sockets != next.Sockets,
+		"limits.memory_mb": c.MemoryMB != next.MemoryMB, "limits.sockets": c.MaxDescriptors != next.MaxDescriptors,
 		"settings": !reflect.DeepEqual(c.Settings, next.Settings),
 	} {
 		if differs {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Name != "n2" || cfg.Listen != "127.0.0.1:5050" || cfg.Cores != 1.5 || cfg.MemoryMB != 192 || cfg.Sockets != 1024 ||
+	if cfg.Name != "n2" || cfg.Listen != "127.0.0.1:5050" || cfg.Cores != 1.5 || cfg.MemoryMB != 192 || cfg.MaxDescriptors != 1024 ||
 		cfg.Settings.Logic.Classes[0].LatencyTarget != 1000 || cfg.Settings.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("%+v", cfg)
 	}
@@ -50,7 +50,7 @@
 func TestDiffers(t *testing.T) {
 	cfg, _ := Read([]byte(validConfig), "", "")
 	next, _ := Read([]byte(strings.NewReplacer("7070", "7071", `"cores":1.5`, `"cores":1`, "1000", "2000").Replace(validConfig)), "", "")
-	if got := strings.Join(cfg.Differs(next), " "); got != "limits.cores settings" || len(cfg.Differs(cfg)) > 0 {
+	if got := strings.Join(cfg.RestartKeys(next), " "); got != "limits.cores settings" || len(cfg.RestartKeys(cfg)) > 0 {
 		t.Error(got)
 	}
 }
--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -72,7 +72,7 @@
 		result.Files = append(result.Files, path)
 	}
 	slices.Sort(result.Files)
-	if l.messages.Errors() == 0 {
+	if l.messages.ErrorCount() == 0 {
 		result.Plan, result.Fleet = c.plan, c.fleet
 	}
 	return result
@@ -127,7 +127,7 @@
 	for _, name := range sortedNames(c.pools) {
 		c.plan.Pools = append(c.plan.Pools, c.pools[name])
 	}
-	if c.messages.Errors() > 0 {
+	if c.messages.ErrorCount() > 0 {
 		return // the warnings below could become wrong once the errors are fixed
 	}
 	for _, s := range c.sections {
@@ -215,9 +215,9 @@
 		if e.node.Match == nil {
 			return nil
 		}
-		errorsBefore := c.messages.Errors()
+		errorsBefore := c.messages.ErrorCount()
 		match := c.buildMatch(e.line, e.node.Match.Expr)
-		if c.messages.Errors() > errorsBefore {
+		if c.messages.ErrorCount() > errorsBefore {
 			return nil
 		}
 		if match.TooWide() {
--- a/config/lang/diff.go
+++ b/config/lang/diff.go
@@ -85,7 +85,7 @@
 	rerouted, complete := before.Plan.RoutingChanges(after.Plan, func(a, b *route.Route) bool { return a.Describe() == b.Describe() })
 	for _, move := range rerouted {
 		changes = append(changes, Change{Type: "jobs", Kind: "route", Name: routeName(move.From), Old: move.From.Describe(),
-			New: move.To.Describe(), Example: Describe(&move.Example)})
+			New: move.To.Describe(), Example: FormatJob(&move.Example)})
 	}
 	return changes, complete
 }
@@ -98,8 +98,8 @@
 	return string(r.Name)
 }
 
-// Describe returns a job as the terms of a match, separated by commas. Fields that the job does not state are left out.
-func Describe(job *route.Job) string {
+// FormatJob returns a job as the terms of a match, separated by commas. Fields that the job does not state are left out.
+func FormatJob(job *route.Job) string {
 	parts := []string{"type = " + quoteIfNeeded(job.Type)}
 	if job.Customer != "" {
 		parts = append(parts, "customer = "+quoteIfNeeded(job.Customer))
--- a/config/lang/fleet.go
+++ b/config/lang/fleet.go
@@ -10,15 +10,15 @@
 
 // Fleet configures how instances find and contact each other. A zero value means that a setting is absent.
 type Fleet struct {
-	Name    string
-	Port    uint16   // UDP and TCP port, at the address that serves clients
-	Told    string   // address advertised to other instances, if it differs
-	Seeds   []string // addresses with ports of some instances
-	KeyFile string
-	Period  time.Duration
-	Members int
-	Traffic int    // bytes per second in each direction
-	Status  string // path of a local socket that serves the known state
+	Name              string
+	Port              uint16   // UDP and TCP port, at the address that serves clients
+	AdvertiseAddress  string   // address advertised to other instances, if it differs
+	SeedAddresses     []string // addresses with ports of some instances
+	KeyFile           string
+	ProbePeriod       time.Duration
+	MaxMembers        int
+	MaxBytesPerSecond int    // bytes per second in each direction
+	StatusSocket      string // path of a local socket that serves the known state
 }
 
 // Defaults. One probe per second detects a failure within a few seconds; 64 KB per second in each direction is about four times
@@ -43,28 +43,28 @@
 		}
 		first = s
 		settings := c.settings[s]
-		fleet := &Fleet{Name: s.name, Port: defaultPort, Period: defaultPeriod, Members: defaultMembers, Traffic: defaultTraffic}
+		fleet := &Fleet{Name: s.name, Port: defaultPort, ProbePeriod: defaultPeriod, MaxMembers: defaultMembers, MaxBytesPerSecond: defaultTraffic}
 		if value := settings["port"]; value != nil {
 			fleet.Port = uint16(value.quantity.Value)
 		}
 		if value := settings["period"]; value != nil {
-			fleet.Period = time.Duration(value.quantity.Value)
+			fleet.ProbePeriod = time.Duration(value.quantity.Value)
 		}
 		if value := settings["members"]; value != nil {
-			fleet.Members = int(value.quantity.Value)
+			fleet.MaxMembers = int(value.quantity.Value)
 		}
 		if value := settings["traffic"]; value != nil {
-			fleet.Traffic = int(value.quantity.Value)
+			fleet.MaxBytesPerSecond = int(value.quantity.Value)
 		}
 		if value := settings["status"]; value != nil {
-			fleet.Status = value.names[0]
+			fleet.StatusSocket = value.names[0]
 		}
 		if value := settings["advertise"]; value != nil {
 			if address, err := netip.ParseAddrPort(value.names[0]); err != nil || address.Port() == 0 {
 				c.reportError(value.line, value.columns[0], fmt.Sprintf("advertise: %q is no address", value.names[0]),
 					`an address such as "10.0.0.4:7946"`)
 			}
-			fleet.Told = value.names[0]
+			fleet.AdvertiseAddress = value.names[0]
 		}
 		c.readKeyFileSetting(s, fleet)
 		c.readSeeds(s, fleet)
@@ -104,6 +104,6 @@
 				`addresses such as "10.0.0.4" or "10.0.0.4:`+strconv.Itoa(int(fleet.Port))+`"`)
 			continue
 		}
-		fleet.Seeds = append(fleet.Seeds, address.String())
+		fleet.SeedAddresses = append(fleet.SeedAddresses, address.String())
 	}
 }
--- a/config/lang/fuzz_test.go
+++ b/config/lang/fuzz_test.go
@@ -52,7 +52,7 @@
 		}
 		started := time.Now()
 		loaded := loadText(text)
-		if len(loaded.Messages) > maxMessages+1 || (loaded.Plan == nil) != (loaded.Messages.Errors() > 0) {
+		if len(loaded.Messages) > maxMessages+1 || (loaded.Plan == nil) != (loaded.Messages.ErrorCount() > 0) {
 			t.Error(len(loaded.Messages), loaded.Plan)
 		}
 		if elapsed := time.Since(started); elapsed > 10*time.Second {
@@ -215,7 +215,7 @@
 				Tables:   rapid.Int64Range(-1, 25).Draw(t, "tables"), Cost: time.Duration(rapid.Int64Range(-1, 3e9).Draw(t, "cost")),
 				Memory: rapid.Int64Range(-1, 1e9).Draw(t, "memory"), TimeLeft: time.Duration(rapid.Int64Range(0, 1e11).Draw(t, "left"))}
 			if from, to := before.Plan.FindLinear(&job).Describe(), after.Plan.FindLinear(&job).Describe(); complete && (from != to) && !listed[[2]string{from, to}] {
-				t.Fatalf("%s goes from %s to %s, which Diff does not list", Describe(&job), from, to)
+				t.Fatalf("%s goes from %s to %s, which Diff does not list", FormatJob(&job), from, to)
 			}
 		}
 		if same, _ := Diff(before, before); len(same) > 0 {
--- a/config/lang/lang_test.go
+++ b/config/lang/lang_test.go
@@ -82,8 +82,8 @@
 				t.Error(diff)
 			}
 			onlyWarnings := strings.HasPrefix(filepath.Base(path), "warn-")
-			if len(loaded.Messages) == 0 || (loaded.Plan == nil) == onlyWarnings || (loaded.Messages.Errors() > 0) == onlyWarnings {
-				t.Errorf("plan %v, %d errors of %d messages", loaded.Plan != nil, loaded.Messages.Errors(), len(loaded.Messages))
+			if len(loaded.Messages) == 0 || (loaded.Plan == nil) == onlyWarnings || (loaded.Messages.ErrorCount() > 0) == onlyWarnings {
+				t.Errorf("plan %v, %d errors of %d messages", loaded.Plan != nil, loaded.Messages.ErrorCount(), len(loaded.Messages))
 			}
 		})
 	}
--- a/config/lang/message.go
+++ b/config/lang/message.go
@@ -47,8 +47,8 @@
 // Messages are the findings of a check, sorted by place.
 type Messages []Message
 
-// Errors returns the number of errors, without warnings.
-func (messages Messages) Errors() (count int) {
+// ErrorCount returns the number of errors, without warnings.
+func (messages Messages) ErrorCount() (count int) {
 	for _, m := range messages {
 		if !m.Warning {
 			count++
@@ -59,7 +59,7 @@
 
 // Err returns the first error with the number of further ones, or nil if there is none.
 func (messages Messages) Err() error {
-	errorCount := messages.Errors()
+	errorCount := messages.ErrorCount()
 	if errorCount == 0 {
 		return nil
 	}
--- a/config/settings.go
+++ b/config/settings.go
@@ -17,12 +17,12 @@
 	Columns        []string // columns of a load report, in order
 	ConnectTimeout time.Duration
 	// DrainGrace is how long after an announced drain a job may still be sent to the engine; 0 if not specified.
-	DrainGrace time.Duration
-	IdleClose  time.Duration // idle connections to engines are closed after this time; 0: never
-	Streams    int           // maximum number of jobs on one connection to an engine
-	OpenCap    int           // maximum number of jobs open at once; 0 for no limit
-	Probes     bool
-	Notes      bool // engines report the progress of running jobs
+	DrainGrace        time.Duration
+	IdleClose         time.Duration // idle connections to engines are closed after this time; 0: never
+	JobsPerConnection int           // maximum number of jobs on one connection to an engine
+	MaxOpenJobs       int           // maximum number of jobs open at once; 0 for no limit
+	Probes            bool
+	ProgressNotes     bool // engines report the progress of running jobs
 }
 
 // ReadSettings parses the settings object. Unknown keys are ignored.
@@ -133,8 +133,8 @@
 			logic.Customer{Name: org.Name, JobsPerSecond: org.JobsPerS})
 	}
 	return Settings{Logic: logicSettings, Columns: document.LoadReport.Columns, ConnectTimeout: document.Permissions.ConnectTimeout,
-		IdleClose: document.Permissions.IdleClose, Streams: document.Permissions.Streams, OpenCap: document.Permissions.OpenCap,
-		Probes: document.Permissions.Probes, Notes: document.FamilyInfo.NotePeriod > 0, DrainGrace: document.Safety.DrainGrace}, nil
+		IdleClose: document.Permissions.IdleClose, JobsPerConnection: document.Permissions.Streams, MaxOpenJobs: document.Permissions.OpenCap,
+		Probes: document.Permissions.Probes, ProgressNotes: document.FamilyInfo.NotePeriod > 0, DrainGrace: document.Safety.DrainGrace}, nil
 }
 
 // valueAt returns list[index], or fallback if the list is shorter or absent.
@@ -172,9 +172,9 @@
 	return s.Estimator.Engine(thin.Location(location), thin.Kind(kind))
 }
 
-// Module creates the decision module. decide/spread assigns its subset of engines, decide/limit enforces its limits, and
+// NewModule creates the decision module. decide/spread assigns its subset of engines, decide/limit enforces its limits, and
 // decide/thin estimates the slowness of engines from few answers.
-func Module(host logic.Host, settings logic.Settings, seed int64) *logic.Controller {
+func NewModule(host logic.Host, settings logic.Settings, seed int64) *logic.Controller {
 	settings.Limits, settings.Slowness = newLimits(settings), slownessAdapter{thin.New()}
 	settings.Order = func(candidates []logic.Candidate, size int) []logic.Candidate {
 		engines, candidateByID := make([]spread.Engine, len(candidates)),
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -118,7 +118,7 @@
 		default:
 			// Where engines report the progress of a job, an unknown answer word is such a report, or a later kind of
 			// one: it finishes nothing, and shows that its engine is alive.
-			if c.counts[unknownAnswers]++; !c.cfg.Settings.Notes {
+			if c.counts[unknownAnswers]++; !c.cfg.Settings.ProgressNotes {
 				err = errUnknownAnswer
 			}
 		}
--- a/controller/bench_test.go
+++ b/controller/bench_test.go
@@ -17,13 +17,13 @@
 func BenchmarkJobTaken(b *testing.B) {
 	for _, routes := range []int{0, 10, 1000} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
-			cfg := config.Config{Name: "n", MemoryMB: 192, Sockets: 256, Cores: 1}
+			cfg := config.Config{Name: "n", MemoryMB: 192, MaxDescriptors: 256, Cores: 1}
 			cfg.Settings.Logic = logic.Settings{Controllers: 1, Location: "east", MaxAttempts: 3, Tick: 5 * time.Millisecond,
 				Kinds:   []logic.EngineKind{{Name: "std", Cores: 8}},
 				Classes: []logic.Class{{Name: "quick", LatencyTarget: time.Second, Deadline: 5 * time.Second, Value: 1, Threads: 1}}}
 			c := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			c.now = c.clock()
-			c.logic = config.Module(benchHost{c}, cfg.Settings.Logic, 1)
+			c.logic = config.NewModule(benchHost{c}, cfg.Settings.Logic, 1)
 			if routes > 0 {
 				plan := &route.Plan{Pools: []*route.Pool{{Name: "p", MemberSets: [][]route.Members{{{Locations: []route.Pattern{"east"}}}}}}}
 				for n := range routes {
--- a/controller/clients.go
+++ b/controller/clients.go
@@ -34,12 +34,12 @@
 
 // maxClients is half of the descriptors. Well-behaved clients stay within a third, and with more than half the
 // controller's own connections would run short.
-func maxClients(cfg config.Config) int { return cfg.Sockets / 2 }
+func maxClients(cfg config.Config) int { return cfg.MaxDescriptors / 2 }
 
 // maxLingering bounds the connections that are shut down and still read until the peer closes, and equally the refused
 // connections that are told so; further ones are closed at once. Their descriptors come out of those that maxLinks
 // reserves.
-func maxLingering(cfg config.Config) int { return max(cfg.Sockets/64, 4) }
+func maxLingering(cfg config.Config) int { return max(cfg.MaxDescriptors/64, 4) }
 
 // addClient registers a new connection. It returns nil if there is no room for it.
 func (c *Controller) addClient(conn netpoll.Connection) *client {
@@ -362,7 +362,7 @@
 		}
 		cl.jobs[stream] = j
 		// Load shedding: the process must not run out of memory. The job never ran, so a retry does no harm.
-		if openCap := c.cfg.Settings.OpenCap; c.overMemory(len(j.statement)) || openCap > 0 && len(c.jobs) >= openCap ||
+		if openCap := c.cfg.Settings.MaxOpenJobs; c.overMemory(len(j.statement)) || openCap > 0 && len(c.jobs) >= openCap ||
 			len(cl.jobs) > streamsPerClient || c.phase >= Leaving || c.paused {
 			c.counts[jobsOverLimit]++
 			c.rejectJob(j, c.cfg.Settings.Logic.MaxRetryAfter)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -104,7 +104,7 @@
 		stagger: spread.NewJitter(cfg.Settings.Logic.Controllers, cfg.Settings.Logic.Number, cfg.Seed^1), jobs: map[logic.JobID]*job{}, clients: map[admission.ConnID]*client{},
 		engines: map[logic.EngineID]*engine{}, engineByAddress: map[string]*engine{}, activeEngines: map[logic.EngineID]*engine{}, probes: map[string]*probe{},
 		fences: map[string]*attempt{}}
-	c.newModule = func(h logic.Host, s logic.Settings, seed int64) logic.Module { return config.Module(h, s, seed) }
+	c.newModule = func(h logic.Host, s logic.Settings, seed int64) logic.Module { return config.NewModule(h, s, seed) }
 	c.discovery = &discovery{c: c, address: cfg.Discovery, pace: watch.NewPace(cfg.Settings.DrainGrace), dials: map[int64]context.CancelFunc{}}
 	c.admission = newAdmission(c)
 	c.tracing = debugEnabled(log)
@@ -135,7 +135,7 @@
 	c.withLock(func() {
 		c.logic = c.newModule(host{c}, c.cfg.Settings.Logic, c.cfg.Seed)
 		c.adoptRoutes(c.cfg.Plan, table)
-		if err = c.discovery.loadKnown(c.cfg.Known); err != nil {
+		if err = c.discovery.loadKnown(c.cfg.InitialDiscovery); err != nil {
 			return
 		}
 		c.discovery.start()
@@ -186,7 +186,7 @@
 			return
 		}
 		c.counts[reloads]++
-		c.logEvent(slog.LevelInfo, "configuration taken", "discovery", next.Discovery, "after_restart", c.cfg.Differs(next))
+		c.logEvent(slog.LevelInfo, "configuration taken", "discovery", next.Discovery, "after_restart", c.cfg.RestartKeys(next))
 		c.discovery.changeAddress(next.Discovery)
 		c.adoptRoutes(next.Plan, table)
 	})
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -862,7 +862,7 @@
 // unknown answer, and the job is sent again on another connection.
 func TestNotes(t *testing.T) {
 	e := newFakeEngine(t, "127.0.0.1:0")
-	cl := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.Notes = true }, e).connect()
+	cl := startWithConfig(t, "", func(cfg *config.Config) { cfg.Settings.ProgressNotes = true }, e).connect()
 	cl.sendQuickJob(1, "2900")
 	cmd := e.expectCommand("serve")
 	cmd.answer("FAR", "done=0.25", "")
--- a/controller/crossing_attempt_test.go
+++ b/controller/crossing_attempt_test.go
@@ -377,7 +377,7 @@
 // sent.
 func TestDescriptorsTaken(t *testing.T) {
 	e, f := newFakeEngine(t, "127.0.0.1:0"), newFakeEngine(t, "127.0.0.1:0")
-	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.Sockets = 50 }, e)
+	b := startWithConfig(t, "", func(cfg *config.Config) { cfg.MaxDescriptors = 50 }, e)
 	if most := b.c.maxLinks(); most != 1 {
 		t.Fatal("maxLinks is not 1: ", most)
 	}
--- a/controller/crossing_discovery_test.go
+++ b/controller/crossing_discovery_test.go
@@ -100,7 +100,7 @@
 	b.connect()
 	address := b.discovery.ln.Addr().String()
 	b.c.withLock(func() { b.c.discovery.changeAddress("127.0.0.1:1") })
-	for range 3 * b.c.cfg.Sockets {
+	for range 3 * b.c.cfg.MaxDescriptors {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -218,7 +218,7 @@
 			continue
 		}
 		l := e.leastLoadedLink(a.job)
-		if l != nil && (len(l.attempts) == 0 || crowded && len(l.attempts) < c.cfg.Settings.Streams) {
+		if l != nil && (len(l.attempts) == 0 || crowded && len(l.attempts) < c.cfg.Settings.JobsPerConnection) {
 			e.waiting = slices.Delete(e.waiting, i, i+1)
 			if c.mayBegin(a) {
 				c.writeAttempt(a, l)
--- a/controller/reload_test.go
+++ b/controller/reload_test.go
@@ -87,7 +87,7 @@
 	discovery.publish(true, [3]string{"e0", engines[0].ln.Addr().String(), "active"},
 		[3]string{"e1", engines[1].ln.Addr().String(), "active"}, [3]string{"e2", engines[2].ln.Addr().String(), "active"})
 	b := startWithConfig(t, "", func(cfg *config.Config) {
-		cfg.Plan, cfg.Discovery, cfg.Known, cfg.Sockets = planOf(t, routesVersion(0)), discovery.ln.Addr().String(), []byte(discovery.eventsAfter(0)), 256
+		cfg.Plan, cfg.Discovery, cfg.InitialDiscovery, cfg.MaxDescriptors = planOf(t, routesVersion(0)), discovery.ln.Addr().String(), []byte(discovery.eventsAfter(0)), 256
 	})
 	b.connect()
 	before := heapBytes()
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -215,7 +215,7 @@
 		return err
 	}
 	started := &instance{id: id, columns: settings.Columns, decisions: &h.decisions}
-	started.controller = config.Module(started, settings.Logic, int64(seed))
+	started.controller = config.NewModule(started, settings.Logic, int64(seed))
 	h.instances[id] = started
 	return nil
 }
--- a/lab/baseline/broken.go
+++ b/lab/baseline/broken.go
@@ -52,11 +52,11 @@
 		change(&settings)
 		switch name {
 		case "without-rule-1":
-			return config.Module(rejectDropper{host}, settings, seed)
+			return config.NewModule(rejectDropper{host}, settings, seed)
 		case withoutDrainRule:
-			return drainIgnorer{config.Module(host, settings, seed)}
+			return drainIgnorer{config.NewModule(host, settings, seed)}
 		}
-		return config.Module(host, settings, seed)
+		return config.NewModule(host, settings, seed)
 	}
 }
 
