--- a/config/config_test.go
+++ b/config/config_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestDiffers: Differs lists only the keys whose change needs a restart.
+// TestDiffers: RestartKeys lists only the keys whose change needs a restart.
 func TestDiffers(t *testing.T) {
 	cfg, _ := Read([]byte(validConfig), "", "")
 	next, _ := Read([]byte(strings.NewReplacer("7070", "7071", `"cores":1.5`, `"cores":1`, "1000", "2000").Replace(validConfig)), "", "")
--- a/config/lang/diff.go
+++ b/config/lang/diff.go
@@ -208,7 +208,7 @@
 	return changes
 }
 
-// ParseJob parses a job as Describe writes it: terms with =, separated by commas. Fields that are not given are empty or
+// ParseJob parses a job as FormatJob writes it: terms with =, separated by commas. Fields that are not given are empty or
 // route.Unknown; the time left defaults to one minute.
 func ParseJob(text string) (route.Job, error) {
 	job := route.Job{Tables: route.Unknown, Cost: route.Unknown, Memory: route.Unknown, TimeLeft: time.Minute}
--- a/decide/invariant/invariant.go
+++ b/decide/invariant/invariant.go
@@ -49,7 +49,7 @@
 	SentAt     time.Duration // when the first byte of the attempt was sent
 	ClientGone time.Duration // when the controller learned that the client had left, 0 if it has not
 	DrainedAt  time.Duration // when the engine was told to accept no new jobs, 0 if it was not
-	Grace      time.Duration // time allowed for acting on Drained
+	Grace      time.Duration // time allowed for acting on DrainedAt
 	Deadline   time.Duration // deadline of the attempt
 }
 
--- a/decide/member/view.go
+++ b/decide/member/view.go
@@ -93,7 +93,7 @@
 	return -1
 }
 
-// BrokenLink is a link on which direct probes are not answered: By does not get answers of Whom directly, though both are alive.
+// BrokenLink is a link on which direct probes are not answered: From does not get answers of To directly, though both are alive.
 type BrokenLink struct{ From, To Name }
 
 // BrokenLinks returns the broken links that this instance knows of, from its own probes and from what members report of theirs:
--- a/decide/route/match.go
+++ b/decide/route/match.go
@@ -11,9 +11,9 @@
 // Job has the properties of a job that a route can match.
 type Job struct {
 	Type, Customer, Front string        // Customer is empty if the front does not provide it
-	Tables                int64         // number of the table group, or Untold
-	Cost                  time.Duration // declared work as core time, or Untold
-	Memory                int64         // declared memory in bytes, or Untold
+	Tables                int64         // number of the table group, or Unknown
+	Cost                  time.Duration // declared work as core time, or Unknown
+	Memory                int64         // declared memory in bytes, or Unknown
 	TimeLeft              time.Duration // time to the deadline when the job arrived
 }
 
@@ -295,7 +295,7 @@
 	for n := range b.numbers {
 		b.numbers[n] = allNumbers
 	}
-	b.numbers[Left-Tables] = []Range{{0, math.MaxInt64}} // never Untold
+	b.numbers[Left-Tables] = []Range{{0, math.MaxInt64}} // never Unknown
 	return b
 }
 
@@ -400,7 +400,7 @@
 			return Unknown
 		}
 		if len(ranges) > 1 && ranges[0].To < 0 {
-			ranges = ranges[1:] // prefer a number to Untold
+			ranges = ranges[1:] // prefer a number to Unknown
 		}
 		selected := ranges[variant%len(ranges)]
 		switch {
@@ -459,7 +459,7 @@
 	return merged
 }
 
-// complementRanges returns all numbers outside of normalized ranges, Untold included.
+// complementRanges returns all numbers outside of normalized ranges, Unknown included.
 func complementRanges(ranges []Range) (result []Range) {
 	start := int64(Unknown)
 	for _, excluded := range ranges {
--- a/decide/spread/apart.go
+++ b/decide/spread/apart.go
@@ -16,7 +16,7 @@
 	controllers int
 }
 
-// NewJitter returns an Apart for the controller with the given number, counted from 0, of the given number of controllers.
+// NewJitter returns a Jitter for the controller with the given number, counted from 0, of the given number of controllers.
 func NewJitter(controllers, number int, seed int64) *Jitter {
 	return &Jitter{rng: rand.New(rand.NewSource(seed)), number: max(number, 0), controllers: max(controllers, 1)}
 }
--- a/decide/spread/deal.go
+++ b/decide/spread/deal.go
@@ -1,6 +1,6 @@
 // Package spread assigns subsets of the engines to controllers, so that a fleet whose controllers do not communicate uses all
 // engines evenly. The assignment follows from a controller's number, the number of controllers and the list of engines. It also
-// spreads actions of controllers over time (Apart). It does no I/O and reads no clock.
+// spreads actions of controllers over time (Jitter). It does no I/O and reads no clock.
 //
 // It guarantees, for controllers with the same list and the same size of subsets: every engine is in the subsets of the same
 // number of controllers, within one, or of a number in proportion to its capacity; no controller has an engine twice; the engines
--- a/decide/tally/tally.go
+++ b/decide/tally/tally.go
@@ -166,8 +166,8 @@
 // Sum is the sum of a counter over the fleet.
 type Sum struct {
 	Min       Value         // lower bound: this instance and all instances with a fresh report
-	Max       Value         // upper bound: Least plus the maximum of each unknown instance
-	MaxAge    time.Duration // age of the oldest report included in Least
+	Max       Value         // upper bound: Min plus the maximum of each unknown instance
+	MaxAge    time.Duration // age of the oldest report included in Min
 	Instances int           // number of instances with a fresh report, including this one
 	Unknown   int           // number of other instances present without a fresh report
 }
--- a/decide/thin/thin.go
+++ b/decide/thin/thin.go
@@ -43,7 +43,7 @@
 	m.value += (sample - m.value) / m.samples
 }
 
-// New returns an empty Book.
+// New returns an empty Estimator.
 func New() *Estimator { return &Estimator{groups: map[groupKey]*group{}} }
 
 // Engine estimates the slowness of one engine.
@@ -116,7 +116,7 @@
 	return math.Min(math.Max(noiseVariance.value/math.Max(variance.value, 1e-9), minPoolWeight), maxPoolWeight)
 }
 
-// Estimate returns the estimated slowness of the engine now, or 0 if the Book has no answers yet.
+// Estimate returns the estimated slowness of the engine now, or 0 if the Estimator has no answers yet.
 func (e *Engine) Estimate(now time.Duration) float64 {
 	book := e.book
 	if book.overall.samples == 0 {
--- a/decide/thin/thin_test.go
+++ b/decide/thin/thin_test.go
@@ -24,7 +24,7 @@
 
 // rmsErrors simulates a controller that gets perSecond answers a second from 40 engines in two locations. The slowness of answers
 // varies by about a factor of two around the truth. It returns the root mean square error over engines, measured each second from
-// 5 s on, of an engine's own mean, the mean of all engines, a pooled estimate of fixed weight, and the Book.
+// 5 s on, of an engine's own mean, the mean of all engines, a pooled estimate of fixed weight, and the Estimator.
 func rmsErrors(scenario scenario, seed int64) (own, all, fixed, pooled float64) {
 	rng := rand.New(rand.NewSource(seed))
 	const engines, perSecond = 40, 20
