--- a/config/lang/check.go
+++ b/config/lang/check.go
@@ -135,7 +135,7 @@
 			c.reportWarning(s.line, s.nameColumn, fmt.Sprintf("%s %q is not used by any route", s.kind, s.name), "")
 		}
 	}
-	for _, u := range c.plan.Unreached() {
+	for _, u := range c.plan.UnreachableRoutes() {
 		s := sectionByRoute[u.Route]
 		line, column := s.line, s.nameColumn
 		if m := c.settings[s]["match"]; m != nil {
--- a/controller/routes.go
+++ b/controller/routes.go
@@ -18,7 +18,7 @@
 func (p placement) Allows(e logic.EngineID) bool { return p.Lane.Allows(route.EngineID(e)) }
 
 func (p placement) MayRetry(first, over time.Duration) bool {
-	return p.Lane.Further(p.c.now, first, over)
+	return p.Lane.RetryAllowed(p.c.now, first, over)
 }
 
 // routeHost carries out the router's decisions. All methods are called under the lock. Calls to the module are queued,
--- a/decide/route/compare.go
+++ b/decide/route/compare.go
@@ -82,7 +82,7 @@
 
 // Unreachable returns the routes that no job can reach. It leaves out routes whose match expands to too many boxes and
 // those for which the analysis reaches its bounds; for all others the result is exact.
-func (p *Plan) Unreached() (found []Unreachable) {
+func (p *Plan) UnreachableRoutes() (found []Unreachable) {
 	index, table := newPlanIndex(p), NewTable(p, nil)
 	comparisons := 0
 	for n, r := range p.Routes {
--- a/decide/route/router.go
+++ b/decide/route/router.go
@@ -95,9 +95,9 @@
 		(l.primary == nil || len(l.primary.pool.members) > 0 || l.extra != nil && len(l.extra.pool.members) > 0)
 }
 
-// Further reports whether a job may be retried now. sinceFirst is the time since its first attempt that may have run
+// RetryAllowed reports whether a job may be retried now. sinceFirst is the time since its first attempt that may have run
 // on an engine, or 0 if there was none; sinceLast is the time since its last attempt ended.
-func (l *Lane) Further(now, sinceFirst, sinceLast time.Duration) bool {
+func (l *Lane) RetryAllowed(now, sinceFirst, sinceLast time.Duration) bool {
 	policy := &l.route.Policy
 	return sinceLast >= policy.RetryDelay && (policy.RepeatWindow == 0 || sinceFirst <= policy.RepeatWindow) &&
 		l.route.meter.retryAllowed(now, policy)
--- a/decide/route/router_test.go
+++ b/decide/route/router_test.go
@@ -269,7 +269,7 @@
 	}
 	lane := h.lanes["j0"]
 	trace := func(label string, sinceFirst, sinceLast time.Duration) {
-		h.tracef("%s: %v", label, lane.Further(h.now, sinceFirst, sinceLast))
+		h.tracef("%s: %v", label, lane.RetryAllowed(h.now, sinceFirst, sinceLast))
 	}
 	h.startAttempts("j0")
 	h.endAttempts("j0")
--- a/decide/route/table_test.go
+++ b/decide/route/table_test.go
@@ -70,7 +70,7 @@
 func TestUnreached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := randomPlan(t, 8)
-		unreached := p.Unreached()
+		unreached := p.UnreachableRoutes()
 		for range 50 {
 			j := randomJob(t)
 			if r := p.FindLinear(&j); slices.ContainsFunc(unreached, func(u Unreachable) bool { return u.Route == r }) {
@@ -100,7 +100,7 @@
 			p.Routes = append(p.Routes, &Route{Name: RouteName(fmt.Sprint("r", n)), Match: m})
 		}
 		got := []string{}
-		for _, u := range p.Unreached() {
+		for _, u := range p.UnreachableRoutes() {
 			s := string(u.Route.Name) + " behind"
 			for _, b := range u.ShadowedBy {
 				s += " " + string(b.Name)
@@ -210,7 +210,7 @@
 func BenchmarkUnreached(b *testing.B) {
 	p, _ := largePlan(10_000)
 	for b.Loop() {
-		if len(p.Unreached()) > 0 {
+		if len(p.UnreachableRoutes()) > 0 {
 			b.Fatal("a route is reported as unreached")
 		}
 	}
