--- a/lab/fleet/audit.go
+++ b/lab/fleet/audit.go
@@ -8,159 +8,165 @@
 	"time"
 )
 
-// Audit is what went against the rules, from the wire alone; all of it is 0 where they were kept. What a client sent to a
-// controller that was killed is not counted as lost. Rule 5 is not played, as no kind of jobs here goes in order by a key.
+// Audit counts violations of the protocol's rules, judged from what clients and engines saw on the wire. In a run that kept every
+// rule all counters are 0; Cold is a measurement and no violation. Jobs sent to a controller that was then killed do not count as lost.
+// Rule 5, which orders jobs by a key, is not checked, because no kind of job in this rig has an ordering key.
 type Audit struct {
-	Lost     int `json:"lost"`           // rule 1: jobs without an answer
-	Overdue  int `json:"overdue"`        // rule 1: jobs whose answer came later than their time and the grace of an answer
-	Doubled  int `json:"answered_twice"` // rule 1: jobs, or answers to nothing that was asked
-	Repeated int `json:"repeated"`       // rule 2: jobs that went again though they may have run and must not run twice
-	Drained  int `json:"after_drain"`    // rule 3: jobs that came to an engine past the grace after its controller was told
-	Felled   int `json:"felled"`         // rule 4: cold engines that got more than they stand
-	Strayed  int `json:"misplaced"`      // rule 6: jobs at an engine that their class bars
-	Excess   int `json:"over_budget"`    // rule 7: further attempts beyond the budget
-	Together int `json:"at_once"`        // jobs with two attempts at engines at once
-	Crashes  int `json:"crashes"`        // processes that ended though nothing of ours ended them, or not well
-	Unwanted int `json:"after_client"`   // attempts that came to an engine past the grace after their client had given up
-	Overtold int `json:"told_too_long"`  // attempts whose engine was told of more time than their client had left
-	Violated int `json:"violations"`     // that processes counted themselves
-
-	Unbidden   int `json:"ended_unbidden"` // lives of processes that ended without a signal to end from the rig
-	OverMemory int `json:"over_memory"`    // processes that had more memory resident than their limit
-
-	Cold float64 `json:"cold_most"` // the most work that came to a cold engine, over what fells it; no breach by itself
+	Lost     int `json:"lost"`           // rule 1: jobs that were never answered
+	Overdue  int `json:"overdue"`        // rule 1: jobs answered later than their deadline plus answerGrace
+	Doubled  int `json:"answered_twice"` // rule 1: answers beyond the first to a job, and answers to jobs that were never sent
+	Repeated int `json:"repeated"`       // rule 2: jobs sent again although they may have run and must not run twice
+	Drained  int `json:"after_drain"`    // rule 3: attempts that reached an engine later than drainGrace after its controller learned of the drain
+	Felled   int `json:"felled"`         // rule 4: engines that received more work after a cold start than they can bear
+	Strayed  int `json:"misplaced"`      // rule 6: attempts at an engine that the job's class does not allow
+	Excess   int `json:"over_budget"`    // rule 7: attempts after a job's first that exceed the retry budget
+	Together int `json:"at_once"`        // jobs with two attempts at engines at the same time
+	Crashes  int `json:"crashes"`        // processes that ended without being told to, ended with an error, or did not start again
+	Unwanted int `json:"after_client"`   // attempts that reached an engine later than abandonGrace after their client gave up
+	Overtold int `json:"told_too_long"`  // attempts whose engine was told a longer wait than their client had left
+	Violated int `json:"violations"`     // violations and panics that the processes logged themselves
+
+	Unbidden   int `json:"ended_unbidden"` // process exits for which the rig had sent no terminating signal
+	OverMemory int `json:"over_memory"`    // processes whose resident memory exceeded their limit
+
+	Cold float64 `json:"cold_most"` // highest load of an engine after a cold start, relative to what overloads it; no violation by itself
 }
 
-// Broken tells whether anything went against a rule.
+// Broken reports whether any rule was violated.
 func (a Audit) Broken() bool {
 	a.Cold = 0
 	return a != Audit{}
 }
 
-// evidence is what clients, engines and discovery saw.
+// evidence holds what clients, engines and discovery saw during a run, and the limits that the rules are checked against.
 type evidence struct {
-	jobs     map[string]*ask
-	hosts    []*host
-	visits   []seen
-	breached map[int]bool  // controllers whose jobs were found in a breach, or nil
-	struck   map[int]bool  // controllers that a fault ended, who begin anew and know nothing
-	slack    time.Duration // by which things are seen late
-	delay    *rigDelay     // when the rig itself did not run
-	gap      time.Duration // by which an attempt that was given up may go on at its engine
-	budget   budget
-	cold     cold
-	length   time.Duration // of the window in which a repeat of a keyed job is known
-	say      func(format string, args ...any)
+	sentJobs         map[string]*sentJob
+	hosts            []*host
+	attempts         []hostAttempt
+	breached         map[int]bool  // controllers with a violation; nil: not recorded
+	restarted        map[int]bool  // controllers that a fault ended: their next process starts without state, so their retry budget is not checked
+	slack            time.Duration // how late an event may be observed
+	stalls           *stallLog     // when the rig itself did not run
+	overlapTolerance time.Duration // how long an abandoned attempt may continue at its engine
+	budget           attemptBudget
+	cold             coldStart
+	dedupWindow      time.Duration // how long an engine recognizes a repeat of a job with a dedup key
+	logf             func(format string, args ...any)
 }
 
-// found tells of one breach, with what was seen.
-func (e *evidence) found(count *int, what, id string, j *ask, visits ...seen) {
+// report counts one violation and logs the job with the attempts that show it.
+func (e *evidence) report(count *int, rule, id string, job *sentJob, attempts ...hostAttempt) {
 	*count++
 	if e.breached != nil {
-		e.breached[j.controller] = true
+		e.breached[job.controller] = true
 	}
-	if e.say == nil {
+	if e.logf == nil {
 		return
 	}
-	text := fmt.Sprintf("%s: %s of controller %d, %s, sent at %v, left at %v", what, id, j.controller, j.kind.name, j.sent, j.left)
-	for _, v := range visits {
-		text += fmt.Sprintf("; at %s %v to %v, told %v", v.host.name, v.Came, v.over, v.wait)
+	text := fmt.Sprintf("%s: %s of controller %d, %s, sent at %v, abandoned at %v", rule, id, job.controller, job.kind.name, job.sentAt, job.abandonedAt)
+	for _, v := range attempts {
+		text += fmt.Sprintf("; at %s %v to %v, told to wait %v", v.host.name, v.ArrivedAt, v.closedAt, v.toldWait)
 	}
-	e.say("%s", text)
+	e.logf("%s", text)
 }
 
-// ask is a job as its client sent it.
-type ask struct {
-	controller int
-	kind       *kind
-	sent       time.Duration
-	life       int           // of its controller
-	left       time.Duration // when its client gave it up, 0 for not
+// sentJob is a job as its client sent it. Times count from the start of the run.
+type sentJob struct {
+	controller  int
+	kind        *jobKind
+	sentAt      time.Duration
+	incarnation int           // of the client group when the job was sent
+	abandonedAt time.Duration // when its client gave up; 0: it did not
 }
 
-// seen is an attempt at an engine.
-type seen struct {
-	visit
+// hostAttempt is an attempt together with the engine that it reached.
+type hostAttempt struct {
+	observedAttempt
 	host *host
 }
 
-type budget struct {
-	window      time.Duration
-	free, share float64
+// attemptBudget is the retry budget of a controller: within window, base attempts beyond the first ones, plus perJob for each job.
+type attemptBudget struct {
+	window       time.Duration
+	base, perJob float64
 }
 
-type cold struct {
-	length, fall, meanJob time.Duration
-	start, multiple       float64
+// coldStart describes how much load an engine bears after a cold start. Its capacity rises from startCapacity to 1 over duration; it is
+// overloaded by more than overloadFactor times its capacity within loadWindow.
+type coldStart struct {
+	duration, loadWindow, meanJobWork time.Duration
+	startCapacity, overloadFactor     float64
 }
 
-// clientGrace is how long after its client has gone an attempt may begin, and waitSlack by how much an engine may be told of more
-// time than a client has left, both by the protocol. leastSlack is what a loaded machine adds to the times that are seen.
+// The protocol allows an attempt to reach an engine for abandonGrace after its client has given up, and the wait that an engine is told
+// to exceed the client's remaining time by toldWaitSlack. minSlack is the delay that a loaded machine adds to observed times.
 const (
-	clientGrace = 100 * time.Millisecond
-	waitSlack   = 150 * time.Millisecond
-	leastSlack  = 150 * time.Millisecond
+	abandonGrace  = 100 * time.Millisecond
+	toldWaitSlack = 150 * time.Millisecond
+	minSlack      = 150 * time.Millisecond
 )
 
-// judge goes through the evidence. Times on the wire lag behind those that a controller knows: slack is for that.
-func (e *evidence) judge(a *Audit) {
-	slices.SortStableFunc(e.visits, func(x, y seen) int { return cmp.Compare(x.Came, y.Came) })
-	byJob := map[string][]seen{}
-	further := map[int][]time.Duration{}
-	taken := map[int][]time.Duration{}
-	for _, j := range e.jobs {
-		taken[j.controller] = append(taken[j.controller], j.sent)
+// checkRules checks the evidence against each rule and counts violations in a. Events on the wire are observed later than the
+// controller decides on them; the slack makes up for that.
+func (e *evidence) checkRules(a *Audit) {
+	slices.SortStableFunc(e.attempts, func(x, y hostAttempt) int { return cmp.Compare(x.ArrivedAt, y.ArrivedAt) })
+	byJob := map[string][]hostAttempt{}
+	extraAttempts := map[int][]time.Duration{}
+	sentTimes := map[int][]time.Duration{}
+	for _, job := range e.sentJobs {
+		sentTimes[job.controller] = append(sentTimes[job.controller], job.sentAt)
 	}
-	for _, v := range e.visits {
-		j := e.jobs[v.id]
-		if j == nil {
-			continue // sent as the run ended
+	for _, attempt := range e.attempts {
+		job := e.sentJobs[attempt.id]
+		if job == nil {
+			continue // sent while the run ended
 		}
-		if told, was := v.host.told[j.controller]; was && v.Came > told+grace+e.slack {
-			e.found(&a.Drained, "after a drain", v.id, j, v)
+		if drainToldAt, draining := attempt.host.drainToldAt[job.controller]; draining && attempt.ArrivedAt > drainToldAt+drainGrace+e.slack {
+			e.report(&a.Drained, "attempt after drain", attempt.id, job, attempt)
 		}
-		if j.left > 0 && v.Came > j.left+clientGrace+e.slack {
-			e.found(&a.Unwanted, "after its client", v.id, j, v)
+		if job.abandonedAt > 0 && attempt.ArrivedAt > job.abandonedAt+abandonGrace+e.slack {
+			e.report(&a.Unwanted, "attempt after its client gave up", attempt.id, job, attempt)
 		}
-		if v.wait > 0 && v.Came+v.wait > j.sent+j.kind.wait+waitSlack+e.slack-leastSlack+e.delay.between(j.sent, v.Came) {
-			e.found(&a.Overtold, "told too long", v.id, j, v)
+		if attempt.toldWait > 0 && attempt.ArrivedAt+attempt.toldWait > job.sentAt+job.kind.deadline+toldWaitSlack+e.slack-minSlack+e.stalls.stalledBetween(job.sentAt, attempt.ArrivedAt) {
+			e.report(&a.Overtold, "engine told too long a wait", attempt.id, job, attempt)
 		}
-		if j.kind.room != "" && v.host.room != j.kind.room {
+		if job.kind.requiredRoom != "" && attempt.host.room != job.kind.requiredRoom {
 			a.Strayed++
 		}
-		if len(byJob[v.id]) > 0 {
-			further[j.controller] = append(further[j.controller], v.Came)
+		if len(byJob[attempt.id]) > 0 {
+			extraAttempts[job.controller] = append(extraAttempts[job.controller], attempt.ArrivedAt)
 		}
-		byJob[v.id] = append(byJob[v.id], v)
+		byJob[attempt.id] = append(byJob[attempt.id], attempt)
 	}
-	for id, visits := range byJob {
-		if e.repeated(e.jobs[id].kind, visits) {
-			e.found(&a.Repeated, "repeated", id, e.jobs[id], visits...)
+	for id, attempts := range byJob {
+		if e.repeatedUnsafely(e.sentJobs[id].kind, attempts) {
+			e.report(&a.Repeated, "repeated", id, e.sentJobs[id], attempts...)
 		}
-		spans := make([][2]time.Duration, len(visits))
-		for n, v := range visits {
-			spans[n] = [2]time.Duration{v.Came, v.over}
+		spans := make([][2]time.Duration, len(attempts))
+		for n, attempt := range attempts {
+			spans[n] = [2]time.Duration{attempt.ArrivedAt, attempt.closedAt}
 		}
-		if overlap(spans, e.gap) {
-			e.found(&a.Together, "two at once", id, e.jobs[id], visits...)
+		if overlap(spans, e.overlapTolerance) {
+			e.report(&a.Together, "two attempts at once", id, e.sentJobs[id], attempts...)
 		}
 	}
-	for c, times := range further {
-		if !e.struck[c] {
-			a.Excess += e.excess(times, taken[c])
+	for c, times := range extraAttempts {
+		if !e.restarted[c] {
+			a.Excess += e.countOverBudget(times, sentTimes[c])
 		}
 	}
-	e.chill(a)
+	e.checkColdEngines(a)
 }
 
-// repeated tells whether a job came again that may have run and must not run twice.
-func (e *evidence) repeated(k *kind, visits []seen) bool {
-	for n, v := range visits {
-		for _, before := range visits[:n] {
-			if before.Began == 0 { // turned away, or lost before it ran
+// repeatedUnsafely reports whether a job was sent again although an earlier attempt started and the job must not run twice: at any
+// time, or for jobs with a dedup key once the engine no longer recognizes the repeat.
+func (e *evidence) repeatedUnsafely(k *jobKind, attempts []hostAttempt) bool {
+	for n, v := range attempts {
+		for _, earlier := range attempts[:n] {
+			if earlier.StartedAt == 0 { // rejected, or lost before it ran
 				continue
 			}
-			if k.once || k.keyed && v.Came > before.Came+e.length+e.slack {
+			if k.neverRepeated || k.hasDedupKey && v.ArrivedAt > earlier.ArrivedAt+e.dedupWindow+e.slack {
 				return true
 			}
 		}
@@ -168,63 +174,66 @@
 	return false
 }
 
-// excess counts the further attempts of a controller beyond its budget, with the protocol's width of 15 in 100 and one.
-func (e *evidence) excess(further, taken []time.Duration) (n int) {
-	slices.Sort(taken)
-	for at, t := range further {
-		out := 0
-		for _, other := range further[:at+1] {
+// countOverBudget returns how many of a controller's extra attempts exceed its retry budget. The protocol tolerates 15% and one attempt
+// more. extraAttempts must be in order of time; sentTimes gets sorted.
+func (e *evidence) countOverBudget(extraAttempts, sentTimes []time.Duration) (overBudget int) {
+	slices.Sort(sentTimes)
+	for last, t := range extraAttempts {
+		inWindow := 0
+		for _, other := range extraAttempts[:last+1] {
 			if other > t-e.budget.window+e.slack {
-				out++
+				inWindow++
 			}
 		}
-		from, _ := slices.BinarySearch(taken, t-e.budget.window-e.slack)
-		to, _ := slices.BinarySearch(taken, t)
-		if float64(out) > 1+1.15*(e.budget.free+e.budget.share*float64(to-from)) {
-			n++
+		from, _ := slices.BinarySearch(sentTimes, t-e.budget.window-e.slack)
+		to, _ := slices.BinarySearch(sentTimes, t)
+		if float64(inWindow) > 1+1.15*(e.budget.base+e.budget.perJob*float64(to-from)) {
+			overBudget++
 		}
 	}
-	return n
+	return overBudget
 }
 
-// chill looks at what came to engines that had just started and were told as such: within any span that the settings name at
-// most as many jobs of mean work as that, and three times its root and three for chance, as the standing test counts.
-func (e *evidence) chill(a *Audit) {
+// checkColdEngines checks engines that were announced as started cold. Within any loadWindow they may receive as many jobs of mean work
+// as their capacity allows, and for chance three times the square root of that number and three more. The acceptance test counts the
+// same way.
+func (e *evidence) checkColdEngines(a *Audit) {
 	for _, h := range e.hosts {
-		if h.born == 0 {
+		if h.coldStartedAt == 0 {
 			continue
 		}
-		var came []seen
-		for _, v := range e.visits {
-			if v.host == h && v.Came >= h.born && v.Came < h.born+e.cold.length {
-				came = append(came, v)
+		var arrived []hostAttempt
+		for _, v := range e.attempts {
+			if v.host == h && v.ArrivedAt >= h.coldStartedAt && v.ArrivedAt < h.coldStartedAt+e.cold.duration {
+				arrived = append(arrived, v)
 			}
 		}
-		most := 0.0
-		for n, first := range came {
-			sum := 0.0
-			for _, v := range came[n:] {
-				if v.Came >= first.Came+e.cold.fall {
+		maxLoad := 0.0
+		for n, first := range arrived {
+			work := 0.0
+			for _, v := range arrived[n:] {
+				if v.ArrivedAt >= first.ArrivedAt+e.cold.loadWindow {
 					break
 				}
-				sum += v.Work.Seconds()
+				work += v.Work.Seconds()
 			}
-			age := float64(first.Came-h.born) / float64(e.cold.length)
-			able := e.cold.multiple * (e.cold.start + (1-e.cold.start)*age) * float64(h.cores) * e.cold.fall.Seconds()
-			jobs := able / e.cold.meanJob.Seconds()
-			most = max(most, sum/((jobs+3*math.Sqrt(jobs)+3)*e.cold.meanJob.Seconds()))
+			age := float64(first.ArrivedAt-h.coldStartedAt) / float64(e.cold.duration)
+			capacity := e.cold.overloadFactor * (e.cold.startCapacity + (1-e.cold.startCapacity)*age) * float64(h.cores) * e.cold.loadWindow.Seconds()
+			meanJobs := capacity / e.cold.meanJobWork.Seconds()
+			maxLoad = max(maxLoad, work/((meanJobs+3*math.Sqrt(meanJobs)+3)*e.cold.meanJobWork.Seconds()))
 		}
-		if a.Cold = max(a.Cold, most); most > 1 {
+		if a.Cold = max(a.Cold, maxLoad); maxLoad > 1 {
 			a.Felled++
 		}
 	}
 }
 
-// overlap tells whether two spans of one job overlap by more than a gap. One that is not over at the end of a run is the last.
-func overlap(spans [][2]time.Duration, gap time.Duration) bool {
+// overlap reports whether two spans of one job overlap by more than the tolerance. It sorts them by start. An end of 0 means that the span
+// was still open at the end of the run; only the last one may be.
+func overlap(spans [][2]time.Duration, tolerance time.Duration) bool {
 	slices.SortFunc(spans, func(a, b [2]time.Duration) int { return cmp.Compare(a[0], b[0]) })
 	for n := 1; n < len(spans); n++ {
-		if spans[n-1][1] == 0 || spans[n-1][1] > spans[n][0]+gap {
+		if spans[n-1][1] == 0 || spans[n-1][1] > spans[n][0]+tolerance {
 			return true
 		}
 	}
--- a/lab/fleet/compare.go
+++ b/lab/fleet/compare.go
@@ -32,20 +32,20 @@
 func Compare(a, b []Result, figures []Figure) (all []Compared) {
 	for _, f := range figures {
 		c := Compared{Name: f.Name}
-		var differ []float64
+		var differences []float64
 		for n := range min(len(a), len(b)) {
 			c.A, c.B = append(c.A, f.Of(a[n])), append(c.B, f.Of(b[n]))
-			differ = append(differ, c.B[n]-c.A[n])
+			differences = append(differences, c.B[n]-c.A[n])
 		}
-		if len(differ) == 0 {
+		if len(differences) == 0 {
 			continue
 		}
-		c.MeanA, c.MeanB, c.Difference = stat.Mean(c.A, nil), stat.Mean(c.B, nil), stat.Mean(differ, nil)
-		c.Pairs = len(differ)
+		c.MeanA, c.MeanB, c.Difference = stat.Mean(c.A, nil), stat.Mean(c.B, nil), stat.Mean(differences, nil)
+		c.Pairs = len(differences)
 		c.Least, c.Most = c.Difference, c.Difference
-		if n := float64(len(differ)); n > 1 {
-			wide := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(differ, nil) / math.Sqrt(n)
-			c.Least, c.Most = c.Difference-wide, c.Difference+wide
+		if n := float64(len(differences)); n > 1 {
+			margin := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(differences, nil) / math.Sqrt(n)
+			c.Least, c.Most = c.Difference-margin, c.Difference+margin
 			c.Tells = c.Least > 0 || c.Most < 0
 		}
 		all = append(all, c)
--- a/lab/fleet/days.go
+++ b/lab/fleet/days.go
@@ -22,7 +22,7 @@
 	{Name: "discovery", Script: []string{"away:1@2s/10s", "replace:0.1@4s/2s"}},
 	{Name: "late", Script: []string{"late:0.5@0s/7s", "replace:0.3@2s/2s"}},
 	{Name: "kill", Script: []string{"kill:0.7@5s"}},
-	{Name: "roll", Script: tenths()},
+	{Name: "roll", Script: rollingRestart()},
 	{Name: "stop", Script: []string{"stop:0.33@4s/3s"}},
 	{Name: "cut", Rooms: 2, Ruled: true, Script: []string{"cut:0.5@4s/5s"}},
 	{Name: "deaf", Rooms: 2, Ruled: true, Script: []string{"deaf:0.5@4s/5s"}},
@@ -39,7 +39,7 @@
 }
 
 // tenths of the fleet are restarted one after the other.
-func tenths() (all []string) {
+func rollingRestart() (all []string) {
 	for n := range 10 {
 		all = append(all, fmt.Sprintf("term:0.1@%v", time.Second+time.Duration(n)*1200*time.Millisecond))
 	}
--- a/lab/fleet/ends_test.go
+++ b/lab/fleet/ends_test.go
@@ -90,7 +90,7 @@
 	if err := large.Truncate(300 << 20); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(large.Name(), p.file); err != nil {
+	if err := os.Rename(large.Name(), p.configFile); err != nil {
 		t.Fatal(err)
 	}
 	p.must(t, syscall.SIGHUP)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -20,22 +20,22 @@
 
 // Options of a run.
 type Options struct {
-	Program     string // that serves without a word, and as a baseline with "baseline NAME"
-	Policy      string // a baseline's name, or "" for the program's own decisions
-	Controllers int
-	Settled     int // controllers that the settings tell of, as when those that run are part of a larger fleet; 0: Controllers
-	Engines     int
-	Cores       int  // of each engine
-	Uneven      bool // every third engine has twice the cores
-	Rooms       int  // that controllers and engines are in, by turns
-	Ruled       bool // jobs of all kinds that rules are about, not only those that may run again anywhere
-	PerSecond   float64
-	Length      time.Duration
-	Seed        int64
-	Faults      []Fault
-	Stay        bool // clients use open connections until a controller ends them or is killed
-	Draw        bool // a picture too
-	Say         func(format string, args ...any)
+	Program         string // that serves without a word, and as a baseline with "baseline NAME"
+	Policy          string // a baseline's name, or "" for the program's own decisions
+	Controllers     int
+	Settled         int // controllers that the settings tell of, as when those that run are part of a larger fleet; 0: Controllers
+	Engines         int
+	Cores           int  // of each engine
+	Uneven          bool // every third engine has twice the cores
+	Rooms           int  // that controllers and engines are in, by turns
+	Ruled           bool // jobs of all kinds that rules are about, not only those that may run again anywhere
+	PerSecond       float64
+	Length          time.Duration
+	Seed            int64
+	Faults          []Fault
+	KeepConnections bool // clients use open connections until a controller ends them or is killed
+	Draw            bool // a picture too
+	Say             func(format string, args ...any)
 }
 
 // Result of a run.
@@ -47,33 +47,33 @@
 	Memory  float64        `json:"memory_mb"` // resident at the end, mean
 	PeakMB  float64        `json:"peak_mb"`   // the most memory that a process had resident
 
-	Picture *spread.Picture `json:"picture,omitempty"` // where one was asked for
+	Picture *spread.Timeline `json:"picture,omitempty"` // where one was asked for
 }
 
 // fleet is a run under way.
 type fleet struct {
-	delay rigDelay
+	stalls stallLog
 	Options
-	rng         *rand.Rand
-	began       time.Time
-	kinds       []kind
-	linked      bool                   // relays stand between controllers and engines
-	hosts       []*host                // in the order in which they came
-	discoveries []*discovery.Discovery // each controller's own
-	processes   []*Process
-	guests      []*guests
-	busy        sync.WaitGroup // faults under way
-	later       sync.WaitGroup // what lists tell late
+	rng          *rand.Rand
+	startedAt    time.Time
+	kinds        []jobKind
+	useRelays    bool                   // relays stand between controllers and engines
+	hosts        []*host                // in the order in which they came
+	discoveries  []*discovery.Discovery // each controller's own
+	processes    []*Process
+	clients      []*clientGroup
+	activeFaults sync.WaitGroup // faults under way
+	lateUpdates  sync.WaitGroup // what lists tell late
 
-	saying sync.Mutex
-	said   bool // all: what is noticed from now on belongs to no run
+	logMu     sync.Mutex
+	logClosed bool // all: what is noticed from now on belongs to no run
 
-	mu       sync.Mutex
-	crashes  int
-	troubled time.Duration         // the longest time that links had one trouble
-	struck   map[int]bool          // controllers that a fault ended
-	late     map[int]time.Duration // by controller, of its list
-	away     map[int]time.Duration // until when its discovery is silent
+	mu                sync.Mutex
+	crashes           int
+	longestImpairment time.Duration         // the longest time that links had one trouble
+	restarted         map[int]bool          // controllers that a fault ended
+	listDelay         map[int]time.Duration // by controller, of its list
+	silentUntil       map[int]time.Duration // until when its discovery is silent
 }
 
 // Run starts the fleet, loads it and ends it. All that it started has ended when it returns, also when the context ends.
@@ -88,37 +88,37 @@
 		return Result{}, err
 	}
 	defer os.RemoveAll(folder)
-	f := &fleet{Options: o, rng: rand.New(rand.NewSource(o.Seed)), began: time.Now(), struck: map[int]bool{},
-		late: map[int]time.Duration{}, away: map[int]time.Duration{}, kinds: plainKinds()}
+	f := &fleet{Options: o, rng: rand.New(rand.NewSource(o.Seed)), startedAt: time.Now(), restarted: map[int]bool{},
+		listDelay: map[int]time.Duration{}, silentUntil: map[int]time.Duration{}, kinds: plainKinds()}
 	if o.Ruled {
-		f.kinds = ruledKinds()
+		f.kinds = constrainedKinds()
 	}
 	for _, fault := range o.Faults {
-		f.linked = f.linked || faults[fault.What].link
+		f.useRelays = f.useRelays || faults[fault.Name].onLinks
 	}
-	defer f.end()
-	measured, stop := context.WithCancel(ctx)
-	defer stop()
-	go f.delay.measure(measured, f.began)
+	defer f.shutdown()
+	rigCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go f.stalls.measure(rigCtx, f.startedAt)
 	if err := f.start(ctx, folder); err != nil {
 		return Result{}, err
 	}
-	go f.watchMemory(measured)
-	from := time.Since(f.began)
-	f.play(ctx, from)
-	to := time.Since(f.began)
-	last := time.Now().Add(longestWait(f.kinds) + time.Second)
-	for _, g := range f.guests {
-		g.wait(time.Until(last))
-	}
-	f.busy.Wait()
-	f.later.Wait()
-	return f.tell(from, to), ctx.Err()
+	go f.sampleMemory(rigCtx)
+	from := time.Since(f.startedAt)
+	f.runLoad(ctx, from)
+	to := time.Since(f.startedAt)
+	deadline := time.Now().Add(longestDeadline(f.kinds) + time.Second)
+	for _, g := range f.clients {
+		g.awaitAnswers(time.Until(deadline))
+	}
+	f.activeFaults.Wait()
+	f.lateUpdates.Wait()
+	return f.collectResult(from, to), ctx.Err()
 }
 
 func (f *fleet) start(ctx context.Context, folder string) (err error) {
-	for place := range f.Engines {
-		if _, err := f.add(place, ""); err != nil {
+	for slot := range f.Engines {
+		if _, err := f.addEngine(slot, ""); err != nil {
 			return err
 		}
 	}
@@ -136,22 +136,22 @@
 			return err
 		}
 		f.discoveries = append(f.discoveries, list)
-		var all []discovery.Host
+		var entries []discovery.Host
 		for _, h := range f.hosts {
-			all = append(all, f.seenFrom(h, n%f.Rooms, "active"))
+			entries = append(entries, f.listEntry(h, n%f.Rooms, "active"))
 		}
-		list.Tell(true, all...)
+		list.Tell(true, entries...)
 		f.processes = append(f.processes, NewProcess(f.Program, folder, Setup{Name: fmt.Sprintf("n%03d", n), Listen: address,
 			Seed: strconv.FormatInt(f.Seed*1000+int64(n), 10), Discovery: list.Address(), Known: list.Since(0),
-			Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, Settings: settings(f.Options, f.kinds, f.rank(n), n%f.Rooms)}, args...))
+			Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, Settings: settingsJSON(f.Options, f.kinds, f.rank(n), n%f.Rooms)}, args...))
 	}
 	f.Say("starting %d controllers between %d engines", f.Controllers, f.Engines)
 	errs := make(chan error, len(f.processes))
-	turns := make(chan bool, 2*runtime.NumCPU()) // so many start at once
+	startSlots := make(chan bool, 2*runtime.NumCPU()) // so many start at once
 	for _, p := range f.processes {
 		go func() {
-			turns <- true
-			defer func() { <-turns }()
+			startSlots <- true
+			defer func() { <-startSlots }()
 			if ctx.Err() != nil {
 				errs <- ctx.Err()
 				return
@@ -160,18 +160,18 @@
 		}()
 	}
 	for range f.processes {
-		if e := <-errs; e != nil && err == nil {
-			err = e
+		if startErr := <-errs; startErr != nil && err == nil {
+			err = startErr
 		}
 	}
 	return err
 }
 
 // say tells of what is noticed while the run lasts.
-func (f *fleet) say(format string, args ...any) {
-	f.saying.Lock()
-	defer f.saying.Unlock()
-	if !f.said {
+func (f *fleet) logf(format string, args ...any) {
+	f.logMu.Lock()
+	defer f.logMu.Unlock()
+	if !f.logClosed {
 		f.Say(format, args...)
 	}
 }
@@ -180,144 +180,144 @@
 func (f *fleet) rank(n int) int { return n * f.Settled / f.Controllers }
 
 // play has the clients ask, and the faults happen.
-func (f *fleet) play(ctx context.Context, from time.Duration) {
-	over, stop := context.WithTimeout(ctx, f.Length)
-	defer stop()
+func (f *fleet) runLoad(ctx context.Context, from time.Duration) {
+	loadCtx, cancel := context.WithTimeout(ctx, f.Length)
+	defer cancel()
 	// Some controllers get several times the mean: a lognormal distribution as of traffic between offices.
-	const uneven = 0.7
+	const rateSigma = 0.7
 	rates, sum := make([]float64, f.Controllers), 0.0
 	for n := range rates {
-		rates[n] = math.Exp(uneven * f.rng.NormFloat64())
+		rates[n] = math.Exp(rateSigma * f.rng.NormFloat64())
 		sum += rates[n]
 	}
 	for n, p := range f.processes {
-		g := &guests{fleet: f, number: n, process: p, rng: rand.New(rand.NewSource(f.Seed*7919 + int64(n))),
-			perSecond: rates[n] / sum * float64(f.Controllers) * f.PerSecond, jobs: map[string]*spread.Job{}, asked: map[string]*ask{}}
-		f.guests = append(f.guests, g)
+		g := &clientGroup{fleet: f, controller: n, process: p, rng: rand.New(rand.NewSource(f.Seed*7919 + int64(n))),
+			jobsPerSecond: rates[n] / sum * float64(f.Controllers) * f.PerSecond, outcomes: map[string]*spread.Job{}, sentJobs: map[string]*sentJob{}}
+		f.clients = append(f.clients, g)
 	}
 	for _, fault := range f.Faults {
-		who := fault.among(f.rng, map[struck]int{controllers: f.Controllers, engines: f.Engines, rooms: f.Rooms}[faults[fault.What].on])
+		targets := fault.pickTargets(f.rng, map[faultTarget]int{targetControllers: f.Controllers, targetEngines: f.Engines, targetRooms: f.Rooms}[faults[fault.Name].target])
 		rng := rand.New(rand.NewSource(f.rng.Int63()))
-		f.busy.Add(1)
+		f.activeFaults.Add(1)
 		go func() {
-			defer f.busy.Done()
+			defer f.activeFaults.Done()
 			select {
-			case <-over.Done():
-			case <-time.After(fault.At - (time.Since(f.began) - from)):
+			case <-loadCtx.Done():
+			case <-time.After(fault.At - (time.Since(f.startedAt) - from)):
 				f.Say("%s", fault)
-				f.strike(over, fault, who, rng)
+				f.injectFault(loadCtx, fault, targets, rng)
 			}
 		}()
 	}
-	var asking sync.WaitGroup
-	for _, g := range f.guests {
-		asking.Add(1)
+	var generators sync.WaitGroup
+	for _, g := range f.clients {
+		generators.Add(1)
 		go func() {
-			defer asking.Done()
-			g.ask(over)
+			defer generators.Done()
+			g.generateJobs(loadCtx)
 		}()
 	}
-	asking.Wait()
+	generators.Wait()
 }
 
 // strike does what a fault does, to all it strikes at once, and ends it.
-func (f *fleet) strike(over context.Context, fault Fault, who []int, rng *rand.Rand) {
-	kind := faults[fault.What]
-	if kind.link {
-		f.strikeLinks(over, fault, who)
+func (f *fleet) injectFault(ctx context.Context, fault Fault, targets []int, rng *rand.Rand) {
+	spec := faults[fault.Name]
+	if spec.onLinks {
+		f.injectLinkFault(ctx, fault, targets)
 		return
 	}
-	if fault.What == "hot" {
-		f.heat(over, fault, rng)
+	if fault.Name == "hot" {
+		f.moveHotTraffic(ctx, fault, rng)
 		return
 	}
-	if kind.on == rooms { // what is in them
-		in := who
-		who = nil
-		for place := range f.Engines {
-			if slices.Contains(in, place%f.Rooms) {
-				who = append(who, place)
+	if spec.target == targetRooms { // what is in them
+		affectedRooms := targets
+		targets = nil
+		for slot := range f.Engines {
+			if slices.Contains(affectedRooms, slot%f.Rooms) {
+				targets = append(targets, slot)
 			}
 		}
 	}
-	var all sync.WaitGroup
-	for _, n := range who {
-		all.Add(1)
-		own := rand.New(rand.NewSource(rng.Int63()))
+	var running sync.WaitGroup
+	for _, n := range targets {
+		running.Add(1)
+		targetRNG := rand.New(rand.NewSource(rng.Int63()))
 		go func() {
-			defer all.Done()
-			if kind.on != controllers {
-				f.strikeEngine(over, fault, n, own)
+			defer running.Done()
+			if spec.target != targetControllers {
+				f.injectEngineFault(ctx, fault, n, targetRNG)
 				return
 			}
-			f.strikeController(over, fault, n)
+			f.injectControllerFault(ctx, fault, n)
 		}()
 	}
-	all.Wait()
+	running.Wait()
 }
 
-func (f *fleet) strikeController(over context.Context, fault Fault, n int) {
-	switch fault.What {
+func (f *fleet) injectControllerFault(ctx context.Context, fault Fault, n int) {
+	switch fault.Name {
 	case "kill", "term":
-		f.again(n, fault.What == "term")
+		f.restartController(n, fault.Name == "term")
 	case "stop":
-		f.guests[n].stands(fault.For)
+		f.clients[n].addStandstill(fault.Duration)
 		_ = f.processes[n].Signal(syscall.SIGSTOP)
-		wait(over, fault.For)
+		sleep(ctx, fault.Duration)
 		_ = f.processes[n].Signal(syscall.SIGCONT)
 	case "away":
 		f.mu.Lock()
-		f.away[n] = time.Since(f.began) + fault.For
+		f.silentUntil[n] = time.Since(f.startedAt) + fault.Duration
 		f.mu.Unlock()
 		f.discoveries[n].Silent(true)
-		wait(over, fault.For)
+		sleep(ctx, fault.Duration)
 		f.discoveries[n].Silent(false)
 	case "late":
 		f.mu.Lock()
-		f.late[n] = fault.For
+		f.listDelay[n] = fault.Duration
 		f.mu.Unlock()
 	case "signals":
-		f.signals(over, n, fault.For)
+		f.reloadRepeatedly(ctx, n, fault.Duration)
 	case "crowd":
-		f.crowd(over, n, fault.For)
+		f.openIdleClients(ctx, n, fault.Duration)
 	case "flood":
-		f.flood(over, n, fault.For)
+		f.floodController(ctx, n, fault.Duration)
 	case "eager", "leave":
-		f.guests[n].behave(fault.What, true)
-		wait(over, fault.For)
-		f.guests[n].behave(fault.What, false)
+		f.clients[n].setBehavior(fault.Name, true)
+		sleep(ctx, fault.Duration)
+		f.clients[n].setBehavior(fault.Name, false)
 	}
 }
 
 // heat has a share of the controllers get ten times the mean, others each second.
-func (f *fleet) heat(over context.Context, fault Fault, rng *rand.Rand) {
-	for until := time.Now().Add(fault.For); time.Now().Before(until) && over.Err() == nil; {
-		who := fault.among(rng, f.Controllers)
-		for _, n := range who {
-			f.guests[n].heat(10 * f.PerSecond)
+func (f *fleet) moveHotTraffic(ctx context.Context, fault Fault, rng *rand.Rand) {
+	for until := time.Now().Add(fault.Duration); time.Now().Before(until) && ctx.Err() == nil; {
+		targets := fault.pickTargets(rng, f.Controllers)
+		for _, n := range targets {
+			f.clients[n].setRate(10 * f.PerSecond)
 		}
-		wait(over, time.Second)
-		for _, n := range who {
-			f.guests[n].heat(0)
+		sleep(ctx, time.Second)
+		for _, n := range targets {
+			f.clients[n].setRate(0)
 		}
 	}
 }
 
 // again ends a controller and starts it anew.
-func (f *fleet) again(n int, gently bool) {
+func (f *fleet) restartController(n int, graceful bool) {
 	p := f.processes[n]
-	p.restarts.Lock() // another fault may strike it while it is being restarted
-	defer p.restarts.Unlock()
+	p.restartMu.Lock() // another fault may strike it while it is being restarted
+	defer p.restartMu.Unlock()
 	f.mu.Lock()
-	f.struck[n] = true
+	f.restarted[n] = true
 	f.mu.Unlock()
-	f.guests[n].excuse(!gently)
-	if gently && f.Stay {
-		f.endAtTheEarliest(n)
-	} else if gently {
+	f.clients[n].excuseLosses(!graceful)
+	if graceful && f.KeepConnections {
+		f.terminateAndKill(n)
+	} else if graceful {
 		_ = p.Signal(syscall.SIGTERM)
 		// The platform's front sends jobs for 0.6 s at most after the signal.
-		time.AfterFunc(400*time.Millisecond, func() { f.guests[n].stayAway(true) })
+		time.AfterFunc(400*time.Millisecond, func() { f.clients[n].setOutOfRotation(true) })
 		select {
 		case <-p.Ended():
 		case <-time.After(10 * time.Second):
@@ -325,83 +325,83 @@
 		}
 	}
 	p.Kill()
-	p.knows(f.discoveries[n])
+	p.setKnownList(f.discoveries[n])
 	if err := p.Start(30 * time.Second); err != nil {
 		f.mu.Lock()
 		f.crashes++
 		f.mu.Unlock()
 		f.Say("%v", err)
 	}
-	f.guests[n].excuse(false)
-	f.guests[n].stayAway(false)
+	f.clients[n].excuseLosses(false)
+	f.clients[n].setOutOfRotation(false)
 }
 
-func wait(over context.Context, d time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
-	case <-over.Done():
-	case <-time.After(d):
+	case <-ctx.Done():
+	case <-time.After(duration):
 	}
 }
 
 // tell gathers what was seen.
-func (f *fleet) tell(from, to time.Duration) Result {
-	run := spread.Run{From: from, To: to, Engines: f.Engines, Controllers: f.Controllers}
-	for place := range f.Engines {
-		run.CoresOf = append(run.CoresOf, f.coresOf(place))
+func (f *fleet) collectResult(from, to time.Duration) Result {
+	observations := spread.Observations{From: from, To: to, Engines: f.Engines, Controllers: f.Controllers}
+	for slot := range f.Engines {
+		observations.CoresByEngine = append(observations.CoresByEngine, f.coresOf(slot))
 	}
 	audit := Audit{Crashes: f.crashes}
 	peakMB := 0.0
 	for _, p := range f.processes {
-		p.notePeak()
-		unbidden, peak := p.history()
-		audit.Unbidden += unbidden
+		p.recordPeak()
+		unrequested, peak := p.exitsAndPeak()
+		audit.Unbidden += unrequested
 		if peakMB = max(peakMB, peak); peak > float64(p.Limits.MemoryMB) {
 			audit.OverMemory++
 			f.Say("%s had %.1f MB of %d", p.Name, peak, p.Limits.MemoryMB)
 		}
 	}
-	came := map[string]time.Duration{}
-	proof := evidence{jobs: map[string]*ask{}, hosts: f.hosts, struck: f.struck, breached: map[int]bool{}, slack: f.slack(), delay: &f.delay, budget: theBudget, cold: theCold,
-		length: keyWindow, say: f.Say}
-	if f.linked { // the word to stop an attempt may be held up on its link
-		proof.gap = proof.slack
+	arrivedAt := map[string]time.Duration{}
+	observed := evidence{sentJobs: map[string]*sentJob{}, hosts: f.hosts, restarted: f.restarted, breached: map[int]bool{}, slack: f.slack(), stalls: &f.stalls, budget: configuredBudget, cold: configuredColdStart,
+		dedupWindow: dedupWindow, logf: f.Say}
+	if f.useRelays { // the word to stop an attempt may be held up on its link
+		observed.overlapTolerance = observed.slack
 	}
-	proof.cold.meanJob = meanWork(f.kinds)
+	observed.cold.meanJobWork = meanWork(f.kinds)
 	for _, h := range f.hosts {
-		visits, dials, probes := h.record.all()
-		for _, v := range visits {
-			v.Engine = h.place
-			run.Visits = append(run.Visits, v.Visit)
-			if first, was := came[v.id]; !was || v.Came < first {
-				came[v.id] = v.Came
+		attempts, dials, probes := h.recorder.snapshot()
+		for _, v := range attempts {
+			v.Engine = h.slot
+			observations.Attempts = append(observations.Attempts, v.Attempt)
+			if first, known := arrivedAt[v.id]; !known || v.ArrivedAt < first {
+				arrivedAt[v.id] = v.ArrivedAt
 			}
-			proof.visits = append(proof.visits, seen{v, h})
+			observed.attempts = append(observed.attempts, hostAttempt{v, h})
 		}
-		run.Dials, run.Probes = append(run.Dials, dials...), append(run.Probes, probes...)
+		observations.Dials, observations.Probes = append(observations.Dials, dials...), append(observations.Probes, probes...)
 	}
-	for _, g := range f.guests {
-		jobs, lost, doubled := g.all(came, proof.jobs)
-		run.Jobs = append(run.Jobs, jobs...)
+	for _, g := range f.clients {
+		jobs, lost, doubled := g.collect(arrivedAt, observed.sentJobs)
+		observations.Jobs = append(observations.Jobs, jobs...)
 		audit.Lost += lost
-		audit.Overdue += g.overdue()
+		audit.Overdue += g.countOverdue()
 		audit.Doubled += doubled
 	}
-	proof.judge(&audit)
-	for n := range proof.breached {
-		f.Say("log of %s, of a run that began at %v:\n%s", f.processes[n].Name, f.began.UTC().Format(time.RFC3339Nano), f.processes[n].Log())
+	observed.checkRules(&audit)
+	for n := range observed.breached {
+		f.Say("log of %s, of a run that began at %v:\n%s", f.processes[n].Name, f.startedAt.UTC().Format(time.RFC3339Nano), f.processes[n].Log())
 	}
 	f.countViolations(&audit)
 	for _, list := range f.discoveries {
-		run.DiscoveryCalls = append(run.DiscoveryCalls, list.Times(f.began)...)
+		observations.DiscoveryCalls = append(observations.DiscoveryCalls, list.Times(f.startedAt)...)
 	}
-	result := Result{Policy: f.Policy, Audit: audit, Figures: spread.Tell(run), PeakMB: peakMB}
+	result := Result{Policy: f.Policy, Audit: audit, Figures: spread.Compute(observations), PeakMB: peakMB}
 	if f.Draw {
-		result.Picture = spread.Draw(run)
+		result.Picture = spread.NewTimeline(observations)
 	}
 	if result.Policy == "" {
 		result.Policy = "own"
 	}
-	lived := 0.0
+	survivors := 0.0
 	for n, p := range f.processes {
 		cpu, memory, err := usage(p.PID())
 		if err != nil {
@@ -409,28 +409,28 @@
 			f.Say("%s is gone: %v\n%s", p.Name, p.Err(), p.Log())
 			continue
 		}
-		if !f.struck[n] {
-			lived++
-			result.CPU += cpu.Seconds() / (time.Since(f.began) - from).Seconds()
+		if !f.restarted[n] {
+			survivors++
+			result.CPU += cpu.Seconds() / (time.Since(f.startedAt) - from).Seconds()
 			result.Memory += memory
 		}
 	}
-	if lived > 0 {
-		result.CPU, result.Memory = result.CPU/lived, result.Memory/lived
+	if survivors > 0 {
+		result.CPU, result.Memory = result.CPU/survivors, result.Memory/survivors
 	}
 	return result
 }
 
 // coresOf an engine at a place, and its kind.
-func (f *fleet) coresOf(place int) int {
-	if f.Uneven && place%3 == 2 {
+func (f *fleet) coresOf(slot int) int {
+	if f.Uneven && slot%3 == 2 {
 		return 2 * f.Cores
 	}
 	return f.Cores
 }
 
-func (f *fleet) kindOf(place int) string {
-	if f.coresOf(place) != f.Cores {
+func (f *fleet) machineType(slot int) string {
+	if f.coresOf(slot) != f.Cores {
 		return "big"
 	}
 	return "std"
@@ -441,21 +441,21 @@
 func (f *fleet) slack() time.Duration {
 	slack := 150 * time.Millisecond
 	for _, fault := range f.Faults {
-		if faults[fault.What].link || fault.What == "stop" {
-			slack = max(slack, fault.For+200*time.Millisecond, f.troubled+200*time.Millisecond)
+		if faults[fault.Name].onLinks || fault.Name == "stop" {
+			slack = max(slack, fault.Duration+200*time.Millisecond, f.longestImpairment+200*time.Millisecond)
 		}
 	}
 	return slack
 }
 
-func longestWait(kinds []kind) (most time.Duration) {
+func longestDeadline(kinds []jobKind) (longest time.Duration) {
 	for _, k := range kinds {
-		most = max(most, k.wait)
+		longest = max(longest, k.deadline)
 	}
-	return most
+	return longest
 }
 
-func meanWork(kinds []kind) (mean time.Duration) {
+func meanWork(kinds []jobKind) (mean time.Duration) {
 	for _, k := range kinds {
 		mean += time.Duration(k.share * float64(k.work))
 	}
@@ -483,19 +483,19 @@
 }
 
 // end ends all that was started.
-func (f *fleet) end() {
-	f.saying.Lock()
-	f.said = true
-	f.saying.Unlock()
-	for _, g := range f.guests {
+func (f *fleet) shutdown() {
+	f.logMu.Lock()
+	f.logClosed = true
+	f.logMu.Unlock()
+	for _, g := range f.clients {
 		g.close()
 	}
-	var all sync.WaitGroup
+	var killed sync.WaitGroup
 	for _, p := range f.processes {
-		all.Add(1)
-		go func() { p.Kill(); all.Done() }()
+		killed.Add(1)
+		go func() { p.Kill(); killed.Done() }()
 	}
-	all.Wait()
+	killed.Wait()
 	for _, h := range f.hosts {
 		h.engine.Die()
 		for _, r := range h.relays {
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -35,13 +35,13 @@
 	play(t, Options{Seed: 1})
 	play(t, Options{Seed: 1, Policy: "random"})
 	play(t, Options{Seed: 2, Length: 5 * time.Second, Faults: []Fault{
-		{What: "kill", Share: 0.5, At: time.Second},
-		{What: "stop", Share: 0.4, At: 1500 * time.Millisecond, For: time.Second},
-		{What: "hang", Share: 0.3, At: 2 * time.Second, For: time.Second},
+		{Name: "kill", Share: 0.5, At: time.Second},
+		{Name: "stop", Share: 0.4, At: 1500 * time.Millisecond, Duration: time.Second},
+		{Name: "hang", Share: 0.3, At: 2 * time.Second, Duration: time.Second},
 	}})
 	play(t, Options{Seed: 3, Length: 5 * time.Second, Faults: []Fault{
-		{What: "term", Share: 0.3, At: time.Second},
-		{What: "die", Share: 0.3, At: 1200 * time.Millisecond, For: time.Second},
+		{Name: "term", Share: 0.3, At: time.Second},
+		{Name: "die", Share: 0.3, At: 1200 * time.Millisecond, Duration: time.Second},
 	}})
 }
 
@@ -92,7 +92,7 @@
 	for seed := range int64(50) {
 		drawn, again := DrawFaults(seed, 4, 20*time.Second), DrawFaults(seed, 4, 20*time.Second)
 		for n, f := range drawn {
-			if read, err := ParseFault(f.String()); err != nil || read != f || again[n] != f || f.At+f.For > 20*time.Second {
+			if read, err := ParseFault(f.String()); err != nil || read != f || again[n] != f || f.At+f.Duration > 20*time.Second {
 				t.Error(f, read, again[n], err)
 			}
 		}
@@ -127,7 +127,7 @@
 			t.Error(d.Name, err)
 		}
 		for _, text := range d.Script {
-			if f, _ := ParseFault(text); faults[f.What].link && f.What != "silent" && d.Rooms < 2 && faults[f.What].on == rooms {
+			if f, _ := ParseFault(text); faults[f.Name].onLinks && f.Name != "silent" && d.Rooms < 2 && faults[f.Name].target == targetRooms {
 				t.Errorf("%s: %s cuts a single room off from nothing", d.Name, text)
 			}
 		}
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -23,20 +23,20 @@
 )
 
 // SeenMember is what an instance says of another on its status socket.
-type SeenMember struct {
-	Name   string        `json:"name"`
-	Life   int64         `json:"life"`
-	Status string        `json:"status"`
-	Age    time.Duration `json:"age_ns"`
-	Hears  time.Duration `json:"hears_us_ns"`
+type MemberView struct {
+	Name     string        `json:"name"`
+	Life     int64         `json:"life"`
+	Status   string        `json:"status"`
+	Age      time.Duration `json:"age_ns"`
+	HeardAge time.Duration `json:"hears_us_ns"`
 }
 
 // SeenFleet is what an instance says of its fleet.
-type SeenFleet struct {
+type FleetView struct {
 	Name    string       `json:"name"`
 	Life    int64        `json:"life"`
 	Contact string       `json:"contact"`
-	Members []SeenMember `json:"members"`
+	Members []MemberView `json:"members"`
 	Open    struct {
 		Least   int `json:"at_least"`
 		Fresh   int `json:"instances"`
@@ -54,17 +54,17 @@
 }
 
 // Of finds a member, or an empty one.
-func (s SeenFleet) Of(name string) SeenMember {
+func (s FleetView) Member(name string) MemberView {
 	for _, m := range s.Members {
 		if m.Name == name {
 			return m
 		}
 	}
-	return SeenMember{}
+	return MemberView{}
 }
 
 // Talkers are processes of the program that talk to one another over a mesh.
-type Talkers struct {
+type MemberGroup struct {
 	Processes []*Process
 	Mesh      *relay.Mesh
 	folder    string
@@ -74,8 +74,8 @@
 }
 
 // StartTalkers starts so many, with a period between probes. Close ends them.
-func StartTalkers(program string, many int, period time.Duration, seed int64) (t *Talkers, err error) {
-	t = &Talkers{Mesh: relay.NewMesh(seed), rng: rand.New(rand.NewSource(seed))}
+func StartMembers(program string, count int, period time.Duration, seed int64) (t *MemberGroup, err error) {
+	t = &MemberGroup{Mesh: relay.NewMesh(seed), rng: rand.New(rand.NewSource(seed))}
 	defer func() {
 		if err != nil {
 			t.Close()
@@ -92,94 +92,96 @@
 	if err = os.WriteFile(key, []byte("a key that all instances share\n"), 0o600); err != nil {
 		return t, err
 	}
-	var told []string
+	var advertised []string
 	var listens []string
-	for n := range many {
+	for n := range count {
 		listen, err := FreeAddress()
 		if err != nil {
 			return t, err
 		}
-		front, err := FreeAddress()
+		meshAddress, err := FreeAddress()
 		if err != nil {
 			return t, err
 		}
-		own := strings.Replace(listen, ":"+strconv.Itoa(listenPort), ":7946", 1)
-		at, err := t.Mesh.Add(TalkerName(n), front, own)
+		memberAddress := strings.Replace(listen, ":"+strconv.Itoa(listenPort), ":7946", 1)
+		address, err := t.Mesh.Add(MemberName(n), meshAddress, memberAddress)
 		if err != nil {
 			return t, err
 		}
-		listens, told = append(listens, listen), append(told, at)
+		listens, advertised = append(listens, listen), append(advertised, address)
 	}
-	options := Options{Controllers: many, Cores: 1, Rooms: 1}
-	for n := range many {
-		file := filepath.Join(t.folder, TalkerName(n)+".conf")
-		seeds := strconv.Quote(told[0])
-		if many > 1 {
-			seeds += ", " + strconv.Quote(told[1])
+	options := Options{Controllers: count, Cores: 1, Rooms: 1}
+	for n := range count {
+		file := filepath.Join(t.folder, MemberName(n)+".conf")
+		seeds := strconv.Quote(advertised[0])
+		if count > 1 {
+			seeds += ", " + strconv.Quote(advertised[1])
 		}
-		text := fmt.Sprintf("[fleet \"lab\"]\nadvertise = %q\nseeds = %s\nkey-file = %q\nperiod = %dms\nstatus = %q\n", told[n],
-			seeds, key, period.Milliseconds(), t.socket(n))
+		text := fmt.Sprintf("[fleet \"lab\"]\nadvertise = %q\nseeds = %s\nkey-file = %q\nperiod = %dms\nstatus = %q\n", advertised[n],
+			seeds, key, period.Milliseconds(), t.statusSocket(n))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return t, err
 		}
-		t.Processes = append(t.Processes, NewProcess(program, t.folder, Setup{Name: TalkerName(n), Listen: listens[n], Seed: "1",
+		t.Processes = append(t.Processes, NewProcess(program, t.folder, Setup{Name: MemberName(n), Listen: listens[n], Seed: "1",
 			Discovery: t.discovery.Address(), Known: json.RawMessage(`{"n":0,"events":[]}`), Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-			Settings: settings(options, plainKinds(), n, n%max(options.Rooms, 1))}, "serve", "--operators", file))
+			Settings: settingsJSON(options, plainKinds(), n, n%max(options.Rooms, 1))}, "serve", "--operators", file))
 	}
 	return t, t.Each(func(n int) error { return t.Processes[n].Start(30 * time.Second) })
 }
 
 // TalkerName is the name of the n-th.
-func TalkerName(n int) string { return fmt.Sprintf("t%03d", n) }
+func MemberName(n int) string { return fmt.Sprintf("t%03d", n) }
 
-func (t *Talkers) socket(n int) string { return filepath.Join(t.folder, TalkerName(n)+".sock") }
+func (t *MemberGroup) statusSocket(n int) string {
+	return filepath.Join(t.folder, MemberName(n)+".sock")
+}
 
 // Each does something with all, some at a time.
-func (t *Talkers) Each(do func(n int) error) error {
+func (t *MemberGroup) Each(do func(n int) error) error {
 	errs := make([]error, len(t.Processes))
-	turns := make(chan bool, 2*runtime.NumCPU())
-	var all sync.WaitGroup
+	slots := make(chan bool, 2*runtime.NumCPU())
+	var running sync.WaitGroup
 	for n := range t.Processes {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			turns <- true
+			defer running.Done()
+			slots <- true
 			errs[n] = do(n)
-			<-turns
+			<-slots
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	return errors.Join(errs...)
 }
 
 // Says asks one what it knows.
-func (t *Talkers) Says(n int) (s SeenFleet, err error) {
-	err = status.Ask(t.socket(n), &s)
+func (t *MemberGroup) View(n int) (s FleetView, err error) {
+	err = status.Ask(t.statusSocket(n), &s)
 	return s, err
 }
 
 // Views asks a part of them.
-func (t *Talkers) Views(of []int) (all []SeenFleet) {
-	views := make([]SeenFleet, len(t.Processes))
+func (t *MemberGroup) Views(members []int) (all []FleetView) {
+	views := make([]FleetView, len(t.Processes))
 	_ = t.Each(func(n int) error {
-		if slices.Contains(of, n) {
-			views[n], _ = t.Says(n)
+		if slices.Contains(members, n) {
+			views[n], _ = t.View(n)
 		}
 		return nil
 	})
-	for _, n := range of {
+	for _, n := range members {
 		all = append(all, views[n])
 	}
 	return all
 }
 
 // Counts tells for how many of a part of them each of some others has a status.
-func (t *Talkers) Counts(by, of []int) map[string]int {
+func (t *MemberGroup) CountStatuses(observers, subjects []int) map[string]int {
 	count := map[string]int{}
-	for _, s := range t.Views(by) {
-		for _, n := range of {
-			if name := TalkerName(n); name != s.Name {
-				count[s.Of(name).Status]++
+	for _, s := range t.Views(observers) {
+		for _, n := range subjects {
+			if name := MemberName(n); name != s.Name {
+				count[s.Member(name).Status]++
 			}
 		}
 	}
@@ -187,22 +189,22 @@
 }
 
 // Until waits until those of a part hold all of some others for a status, and gives how long that took.
-func (t *Talkers) Until(most time.Duration, by, of []int, want string) (took time.Duration, err error) {
-	from := time.Now()
+func (t *MemberGroup) AwaitStatus(timeout time.Duration, observers, subjects []int, want string) (took time.Duration, err error) {
+	start := time.Now()
 	for {
-		count := t.Counts(by, of)
+		count := t.CountStatuses(observers, subjects)
 		if count[want] > 0 && len(count) == 1 {
-			return time.Since(from), nil
+			return time.Since(start), nil
 		}
-		if time.Since(from) > most || t.closed.Load() {
-			return 0, fmt.Errorf("after %v: %v", time.Since(from), count)
+		if time.Since(start) > timeout || t.closed.Load() {
+			return 0, fmt.Errorf("after %v: %v", time.Since(start), count)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 // Close ends all.
-func (t *Talkers) Close() {
+func (t *MemberGroup) Close() {
 	t.closed.Store(true)
 	_ = t.Each(func(n int) error { t.Processes[n].Kill(); return nil })
 	t.Mesh.Close()
@@ -232,35 +234,35 @@
 }
 
 // PlayTalk starts so many instances, looks at them in calm, kills one, loses three datagrams in ten, and splits them.
-func PlayTalk(ctx context.Context, program string, many int, period time.Duration, seed int64, say func(string, ...any)) (r Talk, err error) {
-	t, err := StartTalkers(program, many, period, seed)
+func PlayTalk(ctx context.Context, program string, count int, period time.Duration, seed int64, say func(string, ...any)) (r Talk, err error) {
+	t, err := StartMembers(program, count, period, seed)
 	if err != nil {
 		return r, err
 	}
-	over := context.AfterFunc(ctx, t.Close) // what waits for them then finds nobody
+	stopOnCancel := context.AfterFunc(ctx, t.Close) // what waits for them then finds nobody
 	defer t.Close()
-	defer over()
-	all := make([]int, many)
+	defer stopOnCancel()
+	all := make([]int, count)
 	for n := range all {
 		all[n] = n
 	}
-	patience := time.Duration(60+many) * period
-	r.Instances, r.Period = many, period
-	if r.Formed, err = t.Until(patience, all, all, "alive"); err != nil {
+	timeout := time.Duration(60+count) * period
+	r.Instances, r.Period = count, period
+	if r.Formed, err = t.AwaitStatus(timeout, all, all, "alive"); err != nil {
 		return r, cmp.Or(ctx.Err(), err)
 	}
 	say("all hold all for alive after %v", r.Formed)
 	calm := 20 * period
 	time.Sleep(calm) // words of the start are older than those of calm
-	before := t.used()
-	datagrams, bytes := t.Mesh.Passed()
+	before := t.totalUsage()
+	datagrams, bytes := t.Mesh.Forwarded()
 	from := time.Now()
 	time.Sleep(calm)
-	length := time.Since(from).Seconds() * float64(many)
-	d, b := t.Mesh.Passed()
-	r.Datagrams, r.Bytes = float64(d-datagrams)/length, float64(b-bytes)/length
-	after := t.used()
-	r.CPU, r.Memory = (after.cpu-before.cpu).Seconds()/length, after.memory/float64(many)
+	instanceSeconds := time.Since(from).Seconds() * float64(count)
+	datagramsAfter, bytesAfter := t.Mesh.Forwarded()
+	r.Datagrams, r.Bytes = float64(datagramsAfter-datagrams)/instanceSeconds, float64(bytesAfter-bytes)/instanceSeconds
+	after := t.totalUsage()
+	r.CPU, r.Memory = (after.cpu-before.cpu).Seconds()/instanceSeconds, after.memoryMB/float64(count)
 	var ages []time.Duration
 	for _, s := range t.Views(all) {
 		for _, m := range s.Members {
@@ -274,50 +276,50 @@
 	if len(ages) > 0 {
 		r.AgeHalf, r.AgeMost = ages[len(ages)/2], ages[len(ages)*99/100]
 	}
-	struck := many / 2
-	others := slices.Concat(all[:struck], all[struck+1:])
+	killed := count / 2
+	others := slices.Concat(all[:killed], all[killed+1:])
 	say("one of them is killed")
-	t.Processes[struck].Kill()
+	t.Processes[killed].Kill()
 	from = time.Now()
-	for known := 0; known < len(others) && time.Since(from) < patience; time.Sleep(period / 10) {
-		known = t.Counts(others, []int{struck})["gone"]
+	for detected := 0; detected < len(others) && time.Since(from) < timeout; time.Sleep(period / 10) {
+		detected = t.CountStatuses(others, []int{killed})["gone"]
 		now := time.Since(from)
-		if known > 0 && r.LossFirst == 0 {
+		if detected > 0 && r.LossFirst == 0 {
 			r.LossFirst = now
 		}
-		if 2*known >= len(others) && r.LossHalf == 0 {
+		if 2*detected >= len(others) && r.LossHalf == 0 {
 			r.LossHalf = now
 		}
 		r.LossLast = now
 	}
 	say("three datagrams in ten are lost")
-	t.Mesh.Between(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
+	t.Mesh.SetLinks(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
 	for until := time.Now().Add(2 * calm); time.Now().Before(until); time.Sleep(period) {
-		r.WrongLossy += t.Counts(others, others)["gone"]
+		r.WrongLossy += t.CountStatuses(others, others)["gone"]
 	}
 	say("they are split in halves")
-	t.Mesh.Between(func(from, to string) relay.Link {
-		return relay.Link{Silent: (from < TalkerName(struck)) != (to < TalkerName(struck))}
+	t.Mesh.SetLinks(func(from, to string) relay.Link {
+		return relay.Link{Silent: (from < MemberName(killed)) != (to < MemberName(killed))}
 	})
 	time.Sleep(calm)
-	t.Mesh.Whole()
-	if r.Healed, err = t.Until(patience, others, others, "alive"); ctx.Err() != nil {
+	t.Mesh.Heal()
+	if r.Healed, err = t.AwaitStatus(timeout, others, others, "alive"); ctx.Err() != nil {
 		err = ctx.Err()
 	}
 	return r, err
 }
 
 // usedBy is what all instances together have used.
-type usedBy struct {
-	cpu    time.Duration
-	memory float64
+type resourceUsage struct {
+	cpu      time.Duration
+	memoryMB float64
 }
 
-func (t *Talkers) used() (u usedBy) {
+func (t *MemberGroup) totalUsage() (total resourceUsage) {
 	for _, p := range t.Processes {
 		if cpu, memory, err := usage(p.PID()); err == nil {
-			u.cpu, u.memory = u.cpu+cpu, u.memory+memory
+			total.cpu, total.memoryMB = total.cpu+cpu, total.memoryMB+memory
 		}
 	}
-	return u
+	return total
 }
--- a/lab/fleet/members_test.go
+++ b/lab/fleet/members_test.go
@@ -16,9 +16,9 @@
 // quick is a period between probes that has a test over in seconds; waits follow it.
 const quick = 200 * time.Millisecond
 
-func talkers(t *testing.T, many int) *Talkers {
+func talkers(t *testing.T, many int) *MemberGroup {
 	t.Helper()
-	all, err := StartTalkers(program, many, quick, 1)
+	all, err := StartMembers(program, many, quick, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,9 +41,9 @@
 	return all
 }
 
-func (t *Talkers) await(tt *testing.T, by, of []int, want string) time.Duration {
+func (t *MemberGroup) await(tt *testing.T, by, of []int, want string) time.Duration {
 	tt.Helper()
-	took, err := t.Until(patience, by, of, want)
+	took, err := t.AwaitStatus(patience, by, of, want)
 	if err != nil {
 		tt.Fatalf("%v hold %v: %v", by, of, err)
 	}
@@ -51,11 +51,11 @@
 }
 
 // contact waits until all of a part say of themselves what they should.
-func (t *Talkers) contact(tt *testing.T, of []int, want string) {
+func (t *MemberGroup) contact(tt *testing.T, of []int, want string) {
 	tt.Helper()
 	for from := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		views := t.Views(of)
-		if !slices.ContainsFunc(views, func(s SeenFleet) bool { return s.Contact != want }) {
+		if !slices.ContainsFunc(views, func(s FleetView) bool { return s.Contact != want }) {
 			return
 		}
 		if time.Since(from) > patience {
@@ -69,17 +69,17 @@
 	t.Parallel()
 	all := talkers(t, 5)
 	others := []int{0, 1, 2, 4}
-	before := all.Views([]int{0})[0].Of(TalkerName(3)).Life
+	before := all.Views([]int{0})[0].Member(MemberName(3)).Life
 	all.Processes[3].Kill()
 	t.Log("known to be gone after", all.await(t, others, []int{3}, "gone"))
-	if count := all.Counts(others, others); count["alive"] != 12 {
+	if count := all.CountStatuses(others, others); count["alive"] != 12 {
 		t.Error("others are accused: ", count)
 	}
 	if err := all.Processes[3].Start(patience); err != nil {
 		t.Fatal(err)
 	}
 	t.Log("back after", all.await(t, numbers(0, 5), numbers(0, 5), "alive"))
-	if now := all.Views([]int{0})[0].Of(TalkerName(3)).Life; now <= before {
+	if now := all.Views([]int{0})[0].Member(MemberName(3)).Life; now <= before {
 		t.Errorf("life %d after %d", now, before)
 	}
 	_ = all.Processes[2].Signal(syscall.SIGTERM)
@@ -120,7 +120,7 @@
 		t.Helper()
 		for from := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 			views := all.Views(of)
-			if !slices.ContainsFunc(views, func(s SeenFleet) bool { return s.Open.Least != want || s.Open.Fresh != instances || s.Open.Unknown > 0 }) {
+			if !slices.ContainsFunc(views, func(s FleetView) bool { return s.Open.Least != want || s.Open.Fresh != instances || s.Open.Unknown > 0 }) {
 				return
 			}
 			if time.Since(from) > patience {
@@ -142,27 +142,27 @@
 	side := func(name string) int {
 		for n, s := range [][]int{left, right, lone} {
 			for _, i := range s {
-				if TalkerName(i) == name {
+				if MemberName(i) == name {
 					return n
 				}
 			}
 		}
 		return -1
 	}
-	all.Mesh.Between(func(from, to string) relay.Link { return relay.Link{Silent: side(from) != side(to)} })
+	all.Mesh.SetLinks(func(from, to string) relay.Link { return relay.Link{Silent: side(from) != side(to)} })
 	all.await(t, left, slices.Concat(right, lone), "gone")
 	all.await(t, right, slices.Concat(left, lone), "gone")
 	all.contact(t, lone, "deaf")
 	all.contact(t, slices.Concat(left, right), "partly")
 	for _, s := range [][]int{left, right} {
-		if count := all.Counts(s, s); len(count) != 1 || count["alive"] == 0 {
+		if count := all.CountStatuses(s, s); len(count) != 1 || count["alive"] == 0 {
 			t.Errorf("%v hold of their own side: %v", s, count)
 		}
 	}
-	if count := all.Counts(lone, numbers(0, 7)); count["gone"] > 0 {
+	if count := all.CountStatuses(lone, numbers(0, 7)); count["gone"] > 0 {
 		t.Error("the lone one holds for gone: ", count)
 	}
-	all.Mesh.Whole()
+	all.Mesh.Heal()
 	t.Log("healed after", all.await(t, numbers(0, 8), numbers(0, 8), "alive"))
 	all.contact(t, numbers(0, 8), "connected")
 }
@@ -171,13 +171,13 @@
 func TestMembersOneWay(t *testing.T) {
 	t.Parallel()
 	all := talkers(t, 5)
-	all.Mesh.Between(func(from, _ string) relay.Link { return relay.Link{Silent: from == TalkerName(4)} })
+	all.Mesh.SetLinks(func(from, _ string) relay.Link { return relay.Link{Silent: from == MemberName(4)} })
 	all.contact(t, []int{4}, "mute")
 	all.await(t, numbers(0, 4), []int{4}, "gone")
-	if count := all.Counts([]int{4}, numbers(0, 4)); count["gone"] > 0 {
+	if count := all.CountStatuses([]int{4}, numbers(0, 4)); count["gone"] > 0 {
 		t.Error("the one that is not heard holds for gone: ", count)
 	}
-	all.Mesh.Whole()
+	all.Mesh.Heal()
 	all.await(t, numbers(0, 5), numbers(0, 5), "alive")
 }
 
@@ -189,7 +189,7 @@
 	all.await(t, []int{0, 2, 3, 4}, []int{1}, "gone")
 	_ = all.Processes[1].Signal(syscall.SIGCONT)
 	for until := time.Now().Add(20 * quick); time.Now().Before(until); time.Sleep(quick / 4) {
-		if count := all.Counts([]int{1}, []int{0, 2, 3, 4}); count["gone"]+count["suspect"] > 0 {
+		if count := all.CountStatuses([]int{1}, []int{0, 2, 3, 4}); count["gone"]+count["suspect"] > 0 {
 			t.Fatal("it accuses: ", count)
 		}
 	}
@@ -200,11 +200,11 @@
 func TestMembersBad(t *testing.T) {
 	t.Parallel()
 	all := talkers(t, 8)
-	all.Mesh.Between(func(_, _ string) relay.Link {
-		return relay.Link{Loss: 0.3, Double: 0.1, Jitter: quick / 2}
+	all.Mesh.SetLinks(func(_, _ string) relay.Link {
+		return relay.Link{Loss: 0.3, Duplicate: 0.1, Jitter: quick / 2}
 	})
 	for until := time.Now().Add(40 * quick); time.Now().Before(until); time.Sleep(quick) {
-		if count := all.Counts(numbers(0, 8), numbers(0, 8)); count["gone"] > 0 {
+		if count := all.CountStatuses(numbers(0, 8), numbers(0, 8)); count["gone"] > 0 {
 			t.Fatal(count)
 		}
 	}
@@ -214,15 +214,15 @@
 func TestMembersKey(t *testing.T) {
 	t.Parallel()
 	all := talkers(t, 3)
-	stranger, err := StartTalkers(program, 1, quick, 2)
+	stranger, err := StartMembers(program, 1, quick, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stranger.Close()
-	if s, err := stranger.Says(0); err != nil || s.Contact != "alone" {
+	if s, err := stranger.View(0); err != nil || s.Contact != "alone" {
 		t.Error(s, err)
 	}
-	if s, err := all.Says(0); err != nil || len(s.Members) != 2 {
+	if s, err := all.View(0); err != nil || len(s.Members) != 2 {
 		t.Error(s, err)
 	}
 }
@@ -237,7 +237,7 @@
 		time.Sleep(95 * time.Millisecond)
 		_ = p.Signal(syscall.SIGCONT)
 		time.Sleep(5 * time.Millisecond)
-		if count := all.Counts([]int{0, 1, 3, 4}, numbers(0, 5)); count["gone"] > 0 {
+		if count := all.CountStatuses([]int{0, 1, 3, 4}, numbers(0, 5)); count["gone"] > 0 {
 			t.Fatal(count)
 		}
 	}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -41,55 +41,55 @@
 // Process is one controller. Its methods may be called from anywhere.
 type Process struct {
 	Setup
-	program, file string
-	args          []string
-	restarts      sync.Mutex // one restart at a time
-	files         sync.Mutex // one configuration is written at a time
-	starting      bool       // a life reads its first configuration, which has to be whole; under files
+	program, configFile string
+	args                []string
+	restartMu           sync.Mutex // one restart at a time
+	configMu            sync.Mutex // one configuration is written at a time
+	starting            bool       // a life reads its first configuration, which has to be whole; under files
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
 	ended chan struct{} // closed when the present life is over
 	err   error
-	log   tail
+	log   tailBuffer
 
-	bidden   bool    // to end: the present life had a signal for that
-	unbidden int     // lives that ended without
-	peakMB   float64 // the most memory resident, over all lives
+	exitRequested    bool    // to end: the present life had a signal for that
+	unrequestedExits int     // lives that ended without
+	peakMB           float64 // the most memory resident, over all lives
 }
 
 // listenPort is the same for all, as each has a loopback address of its own: a port of 127.0.0.1 that is free now may be
 // the near end of somebody's connection a moment later.
 const listenPort = 7050
 
-var addresses atomic.Uint32
+var addressCounter atomic.Uint32
 
 // FreeAddress picks a loopback address that nobody listens on, and nobody connects from. It is not tried: a process that is
 // just being started would hold on to the trial for a moment after it is over, and the address would be in use.
 func FreeAddress() (string, error) {
-	n := addresses.Add(1)
+	n := addressCounter.Add(1)
 	if n > 250*250 {
 		return "", errors.New("no loopback address is free")
 	}
 	// By process, as several of them may listen on such addresses at once.
-	own := uint32(os.Getpid())
-	return fmt.Sprintf("127.%d.%d.%d:%d", 16+own%200, (own/200+n/250)%250, 1+n%250, listenPort), nil
+	pid := uint32(os.Getpid())
+	return fmt.Sprintf("127.%d.%d.%d:%d", 16+pid%200, (pid/200+n/250)%250, 1+n%250, listenPort), nil
 }
 
 // NewProcess prepares a controller of a built program; its configuration goes into a folder.
 func NewProcess(program, folder string, setup Setup, args ...string) *Process {
-	return &Process{Setup: setup, program: program, args: args, file: filepath.Join(folder, setup.Name+".json")}
+	return &Process{Setup: setup, program: program, args: args, configFile: filepath.Join(folder, setup.Name+".json")}
 }
 
 // Start begins a life of the process and waits until it listens, or for as long as is given.
-func (p *Process) Start(within time.Duration) error {
+func (p *Process) Start(timeout time.Duration) error {
 	p.setStarting(true)
 	defer p.setStarting(false)
-	if err := p.configure(p.Setup, false); err != nil {
+	if err := p.writeConfig(p.Setup, false); err != nil {
 		return err
 	}
 	cmd := exec.Command(p.program, p.args...)
-	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.file)
+	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configFile)
 	cmd.Stdout, cmd.Stderr = &p.log, &p.log
 	// A rig that is killed takes its processes with it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -98,19 +98,19 @@
 	}
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended, p.err, p.bidden = cmd, ended, nil, false
+	p.cmd, p.ended, p.err, p.exitRequested = cmd, ended, nil, false
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.err = err
-		if !p.bidden {
-			p.unbidden++
+		if !p.exitRequested {
+			p.unrequestedExits++
 		}
 		p.mu.Unlock()
 		close(ended)
 	}()
-	for until := time.Now().Add(within); ; {
+	for deadline := time.Now().Add(timeout); ; {
 		conn, err := net.Dial("tcp", p.Listen)
 		if err == nil {
 			return conn.Close()
@@ -120,52 +120,52 @@
 			return fmt.Errorf("%s ended before it served: %w\n%s", p.Name, errors.Join(p.Err(), err), p.Log())
 		case <-time.After(10 * time.Millisecond):
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("%s does not listen: %w\n%s", p.Name, err, p.Log())
 		}
 	}
 }
 
 // knows has the next life begin with what discovery has told by now, as the platform does.
-func (p *Process) knows(list *discovery.Discovery) {
-	p.files.Lock()
-	defer p.files.Unlock()
+func (p *Process) setKnownList(list *discovery.Discovery) {
+	p.configMu.Lock()
+	defer p.configMu.Unlock()
 	p.Known = list.Since(0)
 }
 
 func (p *Process) setStarting(yes bool) {
-	p.files.Lock()
-	defer p.files.Unlock()
+	p.configMu.Lock()
+	defer p.configMu.Unlock()
 	p.starting = yes
 }
 
 // configure puts a configuration where the process reads it; a torn one ends in the middle, but for a process that is being started,
 // which rightly ends on that. It is in place at once.
-func (p *Process) configure(s Setup, torn bool) error {
-	p.files.Lock()
-	defer p.files.Unlock()
-	file := p.file
+func (p *Process) writeConfig(s Setup, truncated bool) error {
+	p.configMu.Lock()
+	defer p.configMu.Unlock()
+	path := p.configFile
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	if torn && !p.starting {
+	if truncated && !p.starting {
 		raw = raw[:len(raw)/2]
 	}
-	if err := os.WriteFile(file+".new", raw, 0o600); err != nil {
+	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(file+".new", file)
+	return os.Rename(path+".new", path)
 }
 
 // Signal sends one to the present life: SIGSTOP and SIGCONT for a standstill, SIGTERM, SIGHUP, SIGKILL.
 func (p *Process) Signal(s syscall.Signal) error {
-	ends := s == syscall.SIGTERM || s == syscall.SIGINT || s == syscall.SIGKILL
-	if ends {
-		p.notePeak() // as there is none to ask for afterwards
+	terminates := s == syscall.SIGTERM || s == syscall.SIGINT || s == syscall.SIGKILL
+	if terminates {
+		p.recordPeak() // as there is none to ask for afterwards
 	}
 	p.mu.Lock()
-	p.bidden = p.bidden || ends
+	p.exitRequested = p.exitRequested || terminates
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return fmt.Errorf("%s was not started", p.Name)
@@ -175,7 +175,7 @@
 
 // SignalIfTaken sends a signal to the present life if that ignores or catches it by now, and tells whether it did. In the first
 // moments of a process, before its libraries are loaded, only its parent could have it ignored.
-func (p *Process) SignalIfTaken(s syscall.Signal) bool {
+func (p *Process) SignalIfHandled(s syscall.Signal) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
 		return false
@@ -185,8 +185,8 @@
 		if name != "SigIgn" && name != "SigCgt" {
 			continue
 		}
-		set, err := strconv.ParseUint(strings.TrimSpace(value), 16, 64)
-		if err == nil && set&(1<<(s-1)) != 0 {
+		mask, err := strconv.ParseUint(strings.TrimSpace(value), 16, 64)
+		if err == nil && mask&(1<<(s-1)) != 0 {
 			return p.Signal(s) == nil
 		}
 	}
@@ -241,7 +241,7 @@
 }
 
 // notePeak keeps the peak of the present life with those of the others.
-func (p *Process) notePeak() {
+func (p *Process) recordPeak() {
 	peak := p.PeakMB()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -249,35 +249,35 @@
 }
 
 // history tells how many lives ended without a signal for that, and the most memory of all.
-func (p *Process) history() (unbidden int, peakMB float64) {
+func (p *Process) exitsAndPeak() (unrequestedExits int, peakMB float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unbidden, p.peakMB
+	return p.unrequestedExits, p.peakMB
 }
 
 // Log is the end of what all lives wrote.
 func (p *Process) Log() string { return p.log.String() }
 
 // tail keeps the last of what is written to it.
-type tail struct {
+type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
 // mostLog of each process is kept: some hundred lines.
-const mostLog = 64 << 10
+const maxLogBytes = 64 << 10
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *tailBuffer) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, b...)
-	if over := len(t.text) - 2*mostLog; over > 0 {
-		t.text = bytes.Clone(t.text[len(t.text)-mostLog:])
+	if excess := len(t.text) - 2*maxLogBytes; excess > 0 {
+		t.text = bytes.Clone(t.text[len(t.text)-maxLogBytes:])
 	}
 	return len(b), nil
 }
 
-func (t *tail) String() string {
+func (t *tailBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.text)
--- a/lab/fleet/relay/mesh.go
+++ b/lab/fleet/relay/mesh.go
@@ -13,35 +13,35 @@
 
 // Link is what a way from one instance to another suffers from. The zero value passes all at once.
 type Link struct {
-	Silent        bool
-	Loss, Double  float64 // parts of the datagrams
-	Delay, Jitter time.Duration
+	Silent          bool
+	Loss, Duplicate float64 // parts of the datagrams
+	Delay, Jitter   time.Duration
 }
 
 // Mesh stands between instances that talk by UDP, and by TCP at the same addresses: each is reached at an address of the
 // mesh, which knows by the near end who sends. Its methods may be called from anywhere.
 type Mesh struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	names   map[netip.Addr]string // by near end
-	between func(from, to string) Link
-	ports   []*port
-	over    bool
-	passed  int
-	bytes   int64
+	mu            sync.Mutex
+	rng           *rand.Rand
+	nameByAddr    map[netip.Addr]string // by near end
+	linkBetween   func(from, to string) Link
+	ports         []*meshPort
+	closed        bool
+	datagramCount int
+	byteCount     int64
 }
 
 // port is where one instance is reached.
-type port struct {
-	name string
-	to   netip.AddrPort
-	udp  *net.UDPConn
-	tcp  net.Listener
+type meshPort struct {
+	name   string
+	target netip.AddrPort
+	udp    *net.UDPConn
+	tcp    net.Listener
 }
 
 // NewMesh passes all until it is told otherwise.
 func NewMesh(seed int64) *Mesh {
-	return &Mesh{rng: rand.New(rand.NewSource(seed)), names: map[netip.Addr]string{}, between: func(_, _ string) Link { return Link{} }}
+	return &Mesh{rng: rand.New(rand.NewSource(seed)), nameByAddr: map[netip.Addr]string{}, linkBetween: func(_, _ string) Link { return Link{} }}
 }
 
 // Add gives the address at which an instance is reached from now on; address is one that is free, to where it listens.
@@ -50,56 +50,56 @@
 	if err != nil {
 		return "", err
 	}
-	at, err := netip.ParseAddrPort(address)
+	listenAt, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return "", err
 	}
-	p := &port{name: name, to: target}
-	if p.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+	added := &meshPort{name: name, target: target}
+	if added.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAt)); err != nil {
 		return "", fmt.Errorf("mesh: %w", err)
 	}
-	if p.tcp, err = net.Listen("tcp", address); err != nil {
-		p.udp.Close()
+	if added.tcp, err = net.Listen("tcp", address); err != nil {
+		added.udp.Close()
 		return "", fmt.Errorf("mesh: %w", err)
 	}
 	m.mu.Lock()
-	m.names[target.Addr()] = name
-	m.ports = append(m.ports, p)
+	m.nameByAddr[target.Addr()] = name
+	m.ports = append(m.ports, added)
 	m.mu.Unlock()
-	go m.datagrams(p)
-	go m.streams(p)
+	go m.forwardDatagrams(added)
+	go m.forwardStreams(added)
 	return address, nil
 }
 
 // Between says what each way suffers from, from now on. A stream passes where neither way is silent.
-func (m *Mesh) Between(f func(from, to string) Link) {
+func (m *Mesh) SetLinks(linkBetween func(from, to string) Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.between = f
+	m.linkBetween = linkBetween
 }
 
 // Whole has all pass again.
-func (m *Mesh) Whole() { m.Between(func(_, _ string) Link { return Link{} }) }
+func (m *Mesh) Heal() { m.SetLinks(func(_, _ string) Link { return Link{} }) }
 
 // Passed is the number of datagrams and of their bytes so far.
-func (m *Mesh) Passed() (datagrams int, bytes int64) {
+func (m *Mesh) Forwarded() (datagrams int, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.passed, m.bytes
+	return m.datagramCount, m.byteCount
 }
 
 // Close ends it.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.over = true
+	m.closed = true
 	for _, p := range m.ports {
 		p.udp.Close()
 		p.tcp.Close()
 	}
 }
 
-func (m *Mesh) datagrams(p *port) {
+func (m *Mesh) forwardDatagrams(p *meshPort) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := p.udp.ReadFromUDPAddrPort(buf)
@@ -109,37 +109,37 @@
 			continue
 		}
 		m.mu.Lock()
-		link := m.between(m.names[from.Addr()], p.name)
+		link := m.linkBetween(m.nameByAddr[from.Addr()], p.name)
 		copies := 1
-		if m.rng.Float64() < link.Double {
+		if m.rng.Float64() < link.Duplicate {
 			copies = 2
 		}
-		var waits []time.Duration
+		var delays []time.Duration
 		for range copies {
 			if link.Silent || m.rng.Float64() < link.Loss {
 				continue
 			}
-			wait := link.Delay
+			delay := link.Delay
 			if link.Jitter > 0 {
-				wait += time.Duration(m.rng.Int63n(int64(link.Jitter)))
+				delay += time.Duration(m.rng.Int63n(int64(link.Jitter)))
 			}
-			waits = append(waits, wait)
+			delays = append(delays, delay)
 		}
-		m.passed += len(waits)
-		m.bytes += int64(n * len(waits))
+		m.datagramCount += len(delays)
+		m.byteCount += int64(n * len(delays))
 		m.mu.Unlock()
-		text := append([]byte(nil), buf[:n]...)
-		for _, wait := range waits {
-			if wait == 0 {
-				_, _ = p.udp.WriteToUDPAddrPort(text, p.to)
+		payload := append([]byte(nil), buf[:n]...)
+		for _, delay := range delays {
+			if delay == 0 {
+				_, _ = p.udp.WriteToUDPAddrPort(payload, p.target)
 			} else {
-				time.AfterFunc(wait, func() { _, _ = p.udp.WriteToUDPAddrPort(text, p.to) })
+				time.AfterFunc(delay, func() { _, _ = p.udp.WriteToUDPAddrPort(payload, p.target) })
 			}
 		}
 	}
 }
 
-func (m *Mesh) streams(p *port) {
+func (m *Mesh) forwardStreams(p *meshPort) {
 	for {
 		conn, err := p.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -149,8 +149,8 @@
 		}
 		from, _ := netip.ParseAddrPort(conn.RemoteAddr().String())
 		m.mu.Lock()
-		name := m.names[from.Addr()]
-		silent := m.between(name, p.name).Silent || m.between(p.name, name).Silent
+		name := m.nameByAddr[from.Addr()]
+		silent := m.linkBetween(name, p.name).Silent || m.linkBetween(p.name, name).Silent
 		m.mu.Unlock()
 		if silent {
 			conn.Close()
@@ -158,7 +158,7 @@
 		}
 		go func() {
 			defer conn.Close()
-			server, err := net.DialTimeout("tcp", p.to.String(), time.Second)
+			server, err := net.DialTimeout("tcp", p.target.String(), time.Second)
 			if err != nil {
 				return
 			}
--- a/lab/fleet/relay/relay.go
+++ b/lab/fleet/relay/relay.go
@@ -16,56 +16,56 @@
 
 // The two ways of a link.
 const (
-	To   = 0 // from who connects to who listens
-	Back = 1
+	ToServer = 0 // from who connects to who listens
+	ToClient = 1
 )
 
 // Trouble is what a link suffers from. The zero value passes all at once.
-type Trouble struct {
-	Silent        [2]bool       // nothing passes this way; what is sent waits and passes when it is over, as with TCP
-	Delay, Jitter time.Duration // a way takes that, and up to the jitter more; bytes stay in order
-	ResetAfter    int           // connections are reset after so many bytes in the mean, anywhere in a message; 0: never
-	BytesPerS     int           // bandwidth of each connection and way, 0 for no limit
+type Impairment struct {
+	Silent           [2]bool       // nothing passes this way; what is sent waits and passes when it is over, as with TCP
+	Delay, Jitter    time.Duration // a way takes that, and up to the jitter more; bytes stay in order
+	MeanBytesToReset int           // connections are reset after so many bytes in the mean, anywhere in a message; 0: never
+	BytesPerSecond   int           // bandwidth of each connection and way, 0 for no limit
 }
 
 // Relay listens for one server. Its methods may be called from anywhere.
 type Relay struct {
-	to string
+	server string
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	ln      *net.TCPListener
-	address string
-	trouble Trouble
-	changed chan struct{} // closed at each change
-	conns   map[net.Conn]bool
-	fillers []net.Conn // which take the places of a queue that nobody serves
-	refuses bool
-	taking  int        // accepts under way
-	took    *sync.Cond // one of them is over, or the trouble has changed
-	over    bool
-	total   int // connections so far
+	mu          sync.Mutex
+	rng         *rand.Rand
+	listener    *net.TCPListener
+	address     string
+	impairment  Impairment
+	changed     chan struct{} // closed at each change
+	conns       map[net.Conn]bool
+	fillers     []net.Conn // which take the places of a queue that nobody serves
+	refusing    bool
+	accepting   int        // accepts under way
+	acceptDone  *sync.Cond // one of them is over, or the trouble has changed
+	closed      bool
+	connections int // connections so far
 }
 
 // Start listens on an address for a server. What chance decides, which byte a connection is reset at, follows the seed.
 func Start(address, to string, seed int64) (*Relay, error) {
-	r := &Relay{to: to, address: address, rng: rand.New(rand.NewSource(seed)), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
-	r.took = sync.NewCond(&r.mu)
+	r := &Relay{server: to, address: address, rng: rand.New(rand.NewSource(seed)), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	r.acceptDone = sync.NewCond(&r.mu)
 	return r, r.listen()
 }
 
 // places are the connections that wait until they are accepted, as usual.
-const places = 1024
+const listenBacklog = 1024
 
 func (r *Relay) listen() error {
 	ln, err := net.Listen("tcp", r.address)
 	if err != nil {
-		return fmt.Errorf("relay to %s: %w", r.to, err)
+		return fmt.Errorf("relay to %s: %w", r.server, err)
 	}
 	r.mu.Lock()
-	r.ln, r.address = ln.(*net.TCPListener), ln.Addr().String()
+	r.listener, r.address = ln.(*net.TCPListener), ln.Addr().String()
 	r.mu.Unlock()
-	go r.accept(r.ln)
+	go r.accept(r.listener)
 	return nil
 }
 
@@ -77,80 +77,80 @@
 }
 
 // Total is the number of connections so far.
-func (r *Relay) Total() int {
+func (r *Relay) Connections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.total
+	return r.connections
 }
 
 // Set has the link suffer from something else, at once and on open connections too. While a way is silent no new connection
 // comes up: its first packet is not answered, as from a machine that is cut off.
-func (r *Relay) Set(t Trouble) {
+func (r *Relay) SetImpairment(impairment Impairment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.trouble.silent()
-	r.trouble = t
-	if is := t.silent(); is != was && !r.refuses && !r.over {
-		if is {
-			r.deafen()
+	wasBlocked := r.impairment.blocksConnect()
+	r.impairment = impairment
+	if blocked := impairment.blocksConnect(); blocked != wasBlocked && !r.refusing && !r.closed {
+		if blocked {
+			r.fillBacklog()
 		} else {
-			r.hear()
+			r.reopenBacklog()
 		}
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	r.took.Broadcast()
+	r.acceptDone.Broadcast()
 }
 
 // deaf tells that it listens, and that no connection is to come up.
-func (r *Relay) deaf() bool { return r.trouble.silent() && !r.refuses && !r.over }
+func (r *Relay) dropsConnects() bool { return r.impairment.blocksConnect() && !r.refusing && !r.closed }
 
-func (t Trouble) silent() bool { return t.Silent[To] || t.Silent[Back] }
+func (t Impairment) blocksConnect() bool { return t.Silent[ToServer] || t.Silent[ToClient] }
 
 // fills is for a dial to a place that is free, on a machine that is busy with other things; where somebody waits to be
 // accepted there is none, and the dial fails.
-const fills = 500 * time.Millisecond
+const fillerDialTimeout = 500 * time.Millisecond
 
 // deafen shortens the listener's queue to one place and fills that, so that the system drops what comes. It waits for an
 // accept that is under way, which would take the filler and leave the place free.
-func (r *Relay) deafen() {
-	r.backlog(0)
-	_ = r.ln.SetDeadline(time.Now())
-	for r.taking > 0 && r.deaf() {
-		r.took.Wait()
+func (r *Relay) fillBacklog() {
+	r.setBacklog(0)
+	_ = r.listener.SetDeadline(time.Now())
+	for r.accepting > 0 && r.dropsConnects() {
+		r.acceptDone.Wait()
 	}
-	if !r.deaf() {
+	if !r.dropsConnects() {
 		return
 	}
-	if conn, err := net.DialTimeout("tcp", r.address, fills); err == nil {
+	if conn, err := net.DialTimeout("tcp", r.address, fillerDialTimeout); err == nil {
 		r.fillers = append(r.fillers, conn)
 	}
 }
 
-func (r *Relay) hear() {
-	r.backlog(places)
-	_ = r.ln.SetDeadline(time.Time{})
+func (r *Relay) reopenBacklog() {
+	r.setBacklog(listenBacklog)
+	_ = r.listener.SetDeadline(time.Time{})
 	for _, conn := range r.fillers {
 		_ = conn.Close()
 	}
 }
 
-func (r *Relay) backlog(n int) {
-	if raw, err := r.ln.SyscallConn(); err == nil {
+func (r *Relay) setBacklog(n int) {
+	if raw, err := r.listener.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 	}
 }
 
 // Refuse ends all connections and has new ones refused, as where no process listens; or listens again.
-func (r *Relay) Refuse(yes bool) error {
+func (r *Relay) SetRefusing(refuse bool) error {
 	r.mu.Lock()
-	if r.refuses == yes || r.over {
+	if r.refusing == refuse || r.closed {
 		r.mu.Unlock()
 		return nil
 	}
-	if r.refuses = yes; yes {
-		_ = r.ln.Close()
-		r.reset()
+	if r.refusing = refuse; refuse {
+		_ = r.listener.Close()
+		r.resetConnections()
 		r.mu.Unlock()
 		return nil
 	}
@@ -158,13 +158,13 @@
 	err := r.listen()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err == nil && r.trouble.silent() {
-		r.deafen()
+	if err == nil && r.impairment.blocksConnect() {
+		r.fillBacklog()
 	}
 	return err
 }
 
-func (r *Relay) reset() {
+func (r *Relay) resetConnections() {
 	for conn := range r.conns {
 		abort(conn)
 	}
@@ -175,12 +175,12 @@
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.closed {
 		return
 	}
-	r.over = true
-	_ = r.ln.Close()
-	r.reset()
+	r.closed = true
+	_ = r.listener.Close()
+	r.resetConnections()
 	for _, conn := range r.fillers {
 		_ = conn.Close()
 	}
@@ -192,22 +192,22 @@
 func (r *Relay) accept(ln *net.TCPListener) {
 	for {
 		r.mu.Lock()
-		deaf, changed, over := r.trouble.silent(), r.changed, r.over || r.ln != ln
-		if !over && !deaf {
-			r.taking++
+		blocked, changed, closed := r.impairment.blocksConnect(), r.changed, r.closed || r.listener != ln
+		if !closed && !blocked {
+			r.accepting++
 		}
 		r.mu.Unlock()
-		if over {
+		if closed {
 			return
 		}
-		if deaf {
+		if blocked {
 			<-changed
 			continue
 		}
 		conn, err := ln.Accept()
 		r.mu.Lock()
-		r.taking--
-		r.took.Broadcast()
+		r.accepting--
+		r.acceptDone.Broadcast()
 		r.mu.Unlock()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			time.Sleep(time.Millisecond)
@@ -215,12 +215,12 @@
 		} else if err != nil {
 			return
 		}
-		go r.join(conn)
+		go r.forward(conn)
 	}
 }
 
 // filler tells whether a connection is one of those that fill the queue.
-func (r *Relay) filler(conn net.Conn) bool {
+func (r *Relay) isFiller(conn net.Conn) bool {
 	for _, f := range r.fillers {
 		if f.LocalAddr().String() == conn.RemoteAddr().String() {
 			return true
@@ -230,16 +230,16 @@
 }
 
 // join connects one to the server and passes on until either ends.
-func (r *Relay) join(conn net.Conn) {
+func (r *Relay) forward(conn net.Conn) {
 	r.mu.Lock()
-	if r.filler(conn) {
+	if r.isFiller(conn) {
 		r.mu.Unlock()
 		_ = conn.Close()
 		return
 	}
-	r.total++
+	r.connections++
 	r.mu.Unlock()
-	server, err := net.Dial("tcp", r.to)
+	server, err := net.Dial("tcp", r.server)
 	if err != nil {
 		abort(conn)
 		return
@@ -247,21 +247,21 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	r.mu.Lock()
-	left := -1
-	if mean := r.trouble.ResetAfter; mean > 0 {
-		left = int(r.rng.ExpFloat64() * float64(mean))
+	bytesLeft := -1
+	if mean := r.impairment.MeanBytesToReset; mean > 0 {
+		bytesLeft = int(r.rng.ExpFloat64() * float64(mean))
 	}
-	if r.conns[conn], r.conns[server] = true, true; r.over || r.refuses {
-		r.reset()
+	if r.conns[conn], r.conns[server] = true, true; r.closed || r.refusing {
+		r.resetConnections()
 	}
 	r.mu.Unlock()
-	budget := &budget{left: left}
-	var both sync.WaitGroup
-	for way, ends := range [][2]net.Conn{{conn, server}, {server, conn}} {
-		both.Add(1)
+	budget := &byteBudget{remaining: bytesLeft}
+	var directions sync.WaitGroup
+	for direction, ends := range [][2]net.Conn{{conn, server}, {server, conn}} {
+		directions.Add(1)
 		go func() {
-			defer both.Done()
-			if err := r.pass(ctx, way, ends[0], ends[1], budget); err != nil {
+			defer directions.Done()
+			if err := r.copyDirection(ctx, direction, ends[0], ends[1], budget); err != nil {
 				abort(conn)
 				abort(server)
 			} else { // one that says no more hears the rest for a moment
@@ -269,7 +269,7 @@
 			}
 		}()
 	}
-	both.Wait()
+	directions.Wait()
 	_, _ = conn.Close(), server.Close()
 	r.mu.Lock()
 	delete(r.conns, conn)
@@ -278,24 +278,24 @@
 }
 
 // budget of bytes until a connection is reset, for both ways; below 0: none.
-type budget struct {
-	mu   sync.Mutex
-	left int
+type byteBudget struct {
+	mu        sync.Mutex
+	remaining int
 }
 
 var errReset = errors.New("reset")
 
 // spend gives how many of so many bytes still pass.
-func (b *budget) spend(n int) (passes int, err error) {
+func (b *byteBudget) consume(n int) (allowed int, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case b.left < 0:
+	case b.remaining < 0:
 		return n, nil
-	case n >= b.left:
-		return b.left, errReset
+	case n >= b.remaining:
+		return b.remaining, errReset
 	}
-	b.left -= n
+	b.remaining -= n
 	return n, nil
 }
 
@@ -306,7 +306,7 @@
 }
 
 // pass carries one way until it ends, nil with a proper end.
-func (r *Relay) pass(ctx context.Context, way int, from, to net.Conn, b *budget) error {
+func (r *Relay) copyDirection(ctx context.Context, direction int, from, to net.Conn, limit *byteBudget) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	chunks := make(chan chunk, 64) // so many at most are on the way
@@ -317,9 +317,9 @@
 			buf := make([]byte, 4<<10)
 			n, err := from.Read(buf)
 			r.mu.Lock()
-			due := time.Now().Add(r.trouble.Delay)
-			if r.trouble.Jitter > 0 {
-				due = due.Add(time.Duration(r.rng.Int63n(int64(r.trouble.Jitter))))
+			due := time.Now().Add(r.impairment.Delay)
+			if r.impairment.Jitter > 0 {
+				due = due.Add(time.Duration(r.rng.Int63n(int64(r.impairment.Jitter))))
 			}
 			r.mu.Unlock()
 			if due.Before(last) {
@@ -337,18 +337,18 @@
 		}
 	}()
 	for c := range chunks {
-		if err := r.hold(ctx, way, c.due); err != nil {
+		if err := r.waitToPass(ctx, direction, c.due); err != nil {
 			return err
 		}
 		r.mu.Lock()
-		rate := r.trouble.BytesPerS
+		rate := r.impairment.BytesPerSecond
 		r.mu.Unlock()
 		if rate > 0 {
 			time.Sleep(time.Second * time.Duration(len(c.data)) / time.Duration(rate))
 		}
-		n, err := b.spend(len(c.data))
-		if _, wrong := to.Write(c.data[:n]); wrong != nil || err != nil {
-			return errors.Join(wrong, err)
+		n, err := limit.consume(len(c.data))
+		if _, writeErr := to.Write(c.data[:n]); writeErr != nil || err != nil {
+			return errors.Join(writeErr, err)
 		}
 		if errors.Is(c.err, syscall.ECONNRESET) || c.err != nil && ctx.Err() != nil {
 			return c.err
@@ -360,10 +360,10 @@
 }
 
 // hold waits until a chunk may pass.
-func (r *Relay) hold(ctx context.Context, way int, due time.Time) error {
+func (r *Relay) waitToPass(ctx context.Context, direction int, due time.Time) error {
 	for {
 		r.mu.Lock()
-		silent, changed := r.trouble.Silent[way], r.changed
+		silent, changed := r.impairment.Silent[direction], r.changed
 		r.mu.Unlock()
 		wait := time.Until(due)
 		if !silent && wait <= 0 {
--- a/lab/fleet/relay/relay_test.go
+++ b/lab/fleet/relay/relay_test.go
@@ -78,21 +78,21 @@
 	says(t, conn, "before ")
 	hears(t, conn, "before ")
 	for _, silent := range [][2]bool{{true, false}, {false, true}, {true, true}} {
-		r.Set(Trouble{Silent: silent})
+		r.SetImpairment(Impairment{Silent: silent})
 		says(t, conn, "held ")
 		hears(t, conn, "")
 		if late, err := net.DialTimeout("tcp", r.Address(), short); err == nil {
 			late.Close()
 			t.Errorf("%v: a connection comes up", silent)
 		}
-		r.Set(Trouble{})
+		r.SetImpairment(Impairment{})
 		hears(t, conn, "held ")
 	}
 	again := dial(t, r)
 	says(t, again, "after")
 	hears(t, again, "after")
-	if r.Total() > 5 { // ours, and at most those three that gave up: the system may still pass on their first packet
-		t.Error(r.Total(), "connections")
+	if r.Connections() > 5 { // ours, and at most those three that gave up: the system may still pass on their first packet
+		t.Error(r.Connections(), "connections")
 	}
 }
 
@@ -105,15 +105,15 @@
 		defer r.mu.Unlock()
 		return f()
 	}
-	under(func() bool { r.taking++; return true })
+	under(func() bool { r.accepting++; return true })
 	set := make(chan bool)
-	go func() { r.Set(Trouble{Silent: [2]bool{true, false}}); close(set) }()
-	for late := time.Now().Add(patience); !under(func() bool { return r.trouble.silent() }) && time.Now().Before(late); {
+	go func() { r.SetImpairment(Impairment{Silent: [2]bool{true, false}}); close(set) }()
+	for late := time.Now().Add(patience); !under(func() bool { return r.impairment.blocksConnect() }) && time.Now().Before(late); {
 	}
 	if under(func() bool { return len(r.fillers) > 0 }) {
 		t.Error("filled while an accept is under way")
 	}
-	under(func() bool { r.taking--; r.took.Broadcast(); return true })
+	under(func() bool { r.accepting--; r.acceptDone.Broadcast(); return true })
 	<-set
 	if !under(func() bool { return len(r.fillers) == 1 }) {
 		t.Error("not filled")
@@ -123,7 +123,7 @@
 func TestDelay(t *testing.T) {
 	r := start(t, echo(t))
 	conn := dial(t, r)
-	r.Set(Trouble{Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond})
+	r.SetImpairment(Impairment{Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	from := time.Now()
 	for range 5 {
 		says(t, conn, "in order ")
@@ -137,7 +137,7 @@
 // TestReset: a connection ends in the middle of what is said, and others at other places.
 func TestReset(t *testing.T) {
 	r := start(t, echo(t))
-	r.Set(Trouble{ResetAfter: 100})
+	r.SetImpairment(Impairment{MeanBytesToReset: 100})
 	for range 5 {
 		conn := dial(t, r)
 		_, _ = conn.Write(bytes.Repeat([]byte("x"), 5000))
@@ -153,7 +153,7 @@
 	conn := dial(t, r)
 	says(t, conn, "x")
 	hears(t, conn, "x")
-	if err := r.Refuse(true); err != nil {
+	if err := r.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(patience))
@@ -163,7 +163,7 @@
 	if _, err := net.Dial("tcp", r.Address()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Error("not refused: ", err)
 	}
-	if err := r.Refuse(false); err != nil {
+	if err := r.SetRefusing(false); err != nil {
 		t.Fatal(err)
 	}
 	again := dial(t, r)
@@ -173,7 +173,7 @@
 
 func TestBandwidth(t *testing.T) {
 	r := start(t, echo(t))
-	r.Set(Trouble{BytesPerS: 20_000})
+	r.SetImpairment(Impairment{BytesPerSecond: 20_000})
 	conn := dial(t, r)
 	from := time.Now()
 	says(t, conn, string(bytes.Repeat([]byte("x"), 4000)))
--- a/lab/fleet/report/report.go
+++ b/lab/fleet/report/report.go
@@ -35,9 +35,9 @@
 }
 
 // page is read on first use, as a controller needs none of it.
-var page = sync.OnceValue(func() *template.Template { return template.Must(template.New("page").Parse(text)) })
+var parsedTemplate = sync.OnceValue(func() *template.Template { return template.Must(template.New("page").Parse(pageTemplate)) })
 
-const text = `<!doctype html>
+const pageTemplate = `<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2em auto; max-width: 1000px; color: #222; padding: 0 1em }
@@ -74,18 +74,18 @@
 	}{Page: p}
 	for _, r := range p.Results {
 		if r.Picture != nil {
-			data.Plots = append(data.Plots, plots{r.Policy, heat(r.Picture, p.Faults), outcomes(r.Picture, p.Faults),
-				fared(r.Picture), calls(r.Picture, p.Faults)})
+			data.Plots = append(data.Plots, plots{r.Policy, engineHeatmap(r.Picture, p.Faults), outcomeBars(r.Picture, p.Faults),
+				controllerScatter(r.Picture), callLines(r.Picture, p.Faults)})
 		}
 	}
-	return page().Execute(w, data)
+	return parsedTemplate().Execute(w, data)
 }
 
 // Sizes of a plot in pixels: left of it stands its scale.
 const width, left, bottom = 960, 56, 22
 
 // draw makes a plot of a height, with a frame and a scale of time under it.
-func draw(height int, length time.Duration, faults []fleet.Fault, paint func(*svg.SVG)) template.HTML {
+func renderPlot(height int, length time.Duration, faults []fleet.Fault, paint func(*svg.SVG)) template.HTML {
 	var b bytes.Buffer
 	s := svg.New(&b)
 	s.Startview(width, height+bottom, 0, 0, width, height+bottom)
@@ -94,122 +94,122 @@
 	if length > 0 {
 		step := max(length/10, time.Second).Round(time.Second)
 		for t := time.Duration(0); t <= length; t += step {
-			s.Text(across(t, length), height+16, fmt.Sprint(t), "font:11px sans-serif;text-anchor:middle;fill:#555")
+			s.Text(timeToX(t, length), height+16, fmt.Sprint(t), "font:11px sans-serif;text-anchor:middle;fill:#555")
 		}
 		for _, f := range faults {
 			if f.At < length {
-				s.Line(across(f.At, length), 0, across(f.At, length), height, "stroke:#777;stroke-dasharray:3,3")
-				s.Text(across(f.At, length)+3, 11, f.What, "font:11px sans-serif;fill:#555")
+				s.Line(timeToX(f.At, length), 0, timeToX(f.At, length), height, "stroke:#777;stroke-dasharray:3,3")
+				s.Text(timeToX(f.At, length)+3, 11, f.Name, "font:11px sans-serif;fill:#555")
 			}
 		}
 	}
 	s.End()
-	drawn := b.Bytes()
-	if at := bytes.Index(drawn, []byte("<svg")); at > 0 { // the page has one declaration, its own
-		drawn = drawn[at:]
+	rendered := b.Bytes()
+	if at := bytes.Index(rendered, []byte("<svg")); at > 0 { // the page has one declaration, its own
+		rendered = rendered[at:]
 	}
-	return template.HTML(drawn) // of numbers, and of names of faults that are from a list
+	return template.HTML(rendered) // of numbers, and of names of faults that are from a list
 }
 
-func across(t, length time.Duration) int {
+func timeToX(t, length time.Duration) int {
 	return left + int(float64(width-left-1)*float64(t)/float64(length))
 }
 
 // mark writes what a height of a plot stands for.
-func mark(s *svg.SVG, y int, text string) {
+func labelY(s *svg.SVG, y int, text string) {
 	s.Text(left-4, y+4, text, "font:11px sans-serif;text-anchor:end;fill:#555")
 }
 
 // heat is how busy each engine was.
-func heat(p *spread.Picture, faults []fleet.Fault) template.HTML {
+func engineHeatmap(p *spread.Timeline, faults []fleet.Fault) template.HTML {
 	row := max(min(320/max(len(p.Engines), 1), 16), 3)
 	length := p.Window * time.Duration(len(p.Jobs))
-	return draw(row*len(p.Engines), length, faults, func(s *svg.SVG) {
+	return renderPlot(row*len(p.Engines), length, faults, func(s *svg.SVG) {
 		for e, windows := range p.Engines {
 			for w, used := range windows {
-				x := across(time.Duration(w)*p.Window, length)
-				s.Rect(x, e*row, across(time.Duration(w+1)*p.Window, length)-x, row, "fill:"+shade(used))
+				x := timeToX(time.Duration(w)*p.Window, length)
+				s.Rect(x, e*row, timeToX(time.Duration(w+1)*p.Window, length)-x, row, "fill:"+loadColor(used))
 			}
 		}
-		mark(s, 8, "engine 0")
-		mark(s, row*len(p.Engines)-6, fmt.Sprint(len(p.Engines)-1))
+		labelY(s, 8, "engine 0")
+		labelY(s, row*len(p.Engines)-6, fmt.Sprint(len(p.Engines)-1))
 	})
 }
 
 // shade goes from white over blue, all cores busy, to red, three jobs a core.
-func shade(used float64) string {
+func loadColor(used float64) string {
 	if used <= 1 {
-		light := int(255 - 155*math.Max(used, 0))
-		return fmt.Sprintf("rgb(%d,%d,255)", light, light)
+		brightness := int(255 - 155*math.Max(used, 0))
+		return fmt.Sprintf("rgb(%d,%d,255)", brightness, brightness)
 	}
-	over := math.Min((used-1)/2, 1)
-	return fmt.Sprintf("rgb(%d,%d,%d)", int(100+155*over), int(100-60*over), int(255-215*over))
+	excess := math.Min((used-1)/2, 1)
+	return fmt.Sprintf("rgb(%d,%d,%d)", int(100+155*excess), int(100-60*excess), int(255-215*excess))
 }
 
 // outcomes are stacked bars of what became of jobs.
-func outcomes(p *spread.Picture, faults []fleet.Fault) template.HTML {
+func outcomeBars(p *spread.Timeline, faults []fleet.Fault) template.HTML {
 	const height = 160
-	most := 1
+	maxSent := 1
 	for _, j := range p.Jobs {
-		most = max(most, j.Sent)
+		maxSent = max(maxSent, j.Sent)
 	}
 	length := p.Window * time.Duration(len(p.Jobs))
-	return draw(height, length, faults, func(s *svg.SVG) {
+	return renderPlot(height, length, faults, func(s *svg.SVG) {
 		for w, j := range p.Jobs {
-			x, y := across(time.Duration(w)*p.Window, length), height
-			wide := across(time.Duration(w+1)*p.Window, length) - x
+			x, y := timeToX(time.Duration(w)*p.Window, length), height
+			barWidth := timeToX(time.Duration(w+1)*p.Window, length) - x
 			for _, part := range []struct {
 				jobs  int
 				color string
-			}{{j.InTime, "#7ab87a"}, {j.Late, "#e6cf55"}, {j.Rejected, "#e8954a"}, {j.None, "#c93030"}} {
-				high := part.jobs * height / most
-				y -= high
-				s.Rect(x, y, wide, high, "fill:"+part.color)
+			}{{j.InTime, "#7ab87a"}, {j.Late, "#e6cf55"}, {j.Rejected, "#e8954a"}, {j.Unanswered, "#c93030"}} {
+				barHeight := part.jobs * height / maxSent
+				y -= barHeight
+				s.Rect(x, y, barWidth, barHeight, "fill:"+part.color)
 			}
 		}
-		mark(s, 8, fmt.Sprintf("%.0f/s", float64(most)/p.Window.Seconds()))
-		mark(s, height-4, "0")
+		labelY(s, 8, fmt.Sprintf("%.0f/s", float64(maxSent)/p.Window.Seconds()))
+		labelY(s, height-4, "0")
 	})
 }
 
 // fared is a dot for each controller.
-func fared(p *spread.Picture) template.HTML {
+func controllerScatter(p *spread.Timeline) template.HTML {
 	const height = 140
 	if len(p.Controllers) == 0 {
 		return ""
 	}
-	most := max(slices.MaxFunc(p.Controllers, func(a, b spread.Share) int { return cmp.Compare(a.Jobs, b.Jobs) }).Jobs, 1)
-	return draw(height, 0, nil, func(s *svg.SVG) {
+	maxJobs := max(slices.MaxFunc(p.Controllers, func(a, b spread.ControllerOutcome) int { return cmp.Compare(a.Jobs, b.Jobs) }).Jobs, 1)
+	return renderPlot(height, 0, nil, func(s *svg.SVG) {
 		for _, c := range p.Controllers {
 			if c.Jobs > 0 {
-				x := left + (width-left-10)*c.Jobs/most
+				x := left + (width-left-10)*c.Jobs/maxJobs
 				s.Circle(x, 5+int(float64(height-10)*(1-float64(c.InTime)/float64(c.Jobs))), 3, "fill:#3366aa;fill-opacity:0.5")
 			}
 		}
-		mark(s, 8, "all")
-		mark(s, height-4, "none")
-		s.Text(width-4, height+16, fmt.Sprintf("%d jobs", most), "font:11px sans-serif;text-anchor:end;fill:#555")
+		labelY(s, 8, "all")
+		labelY(s, height-4, "none")
+		s.Text(width-4, height+16, fmt.Sprintf("%d jobs", maxJobs), "font:11px sans-serif;text-anchor:end;fill:#555")
 	})
 }
 
 // calls are two lines.
-func calls(p *spread.Picture, faults []fleet.Fault) template.HTML {
+func callLines(p *spread.Timeline, faults []fleet.Fault) template.HTML {
 	const height = 100
-	most := max(slices.Max(p.Dials), slices.Max(p.DiscoveryCalls), 1)
+	maxCount := max(slices.Max(p.Dials), slices.Max(p.DiscoveryCalls), 1)
 	length := p.Window * time.Duration(len(p.Jobs))
-	return draw(height, length, faults, func(s *svg.SVG) {
+	return renderPlot(height, length, faults, func(s *svg.SVG) {
 		for _, line := range []struct {
 			counts []int
 			color  string
 		}{{p.DiscoveryCalls, "#999999"}, {p.Dials, "#3366aa"}} {
 			var xs, ys []int
 			for w, n := range line.counts {
-				xs = append(xs, across(time.Duration(w)*p.Window+p.Window/2, length))
-				ys = append(ys, height-n*height/most)
+				xs = append(xs, timeToX(time.Duration(w)*p.Window+p.Window/2, length))
+				ys = append(ys, height-n*height/maxCount)
 			}
 			s.Polyline(xs, ys, "fill:none;stroke:"+line.color)
 		}
-		mark(s, 8, fmt.Sprintf("%.0f/s", float64(most)/p.Window.Seconds()))
-		mark(s, height-4, "0")
+		labelY(s, 8, fmt.Sprintf("%.0f/s", float64(maxCount)/p.Window.Seconds()))
+		labelY(s, height-4, "0")
 	})
 }
--- a/lab/fleet/rules_test.go
+++ b/lab/fleet/rules_test.go
@@ -19,21 +19,21 @@
 		// six seconds of service. One repeat in seventeen is of a job that must not run twice, a dozen in all.
 		{"without-rule-2", func(a Audit) int { return a.Repeated }, func(o *Options) {
 			o.PerSecond, o.Length, o.Engines = 100, 8*time.Second, 8
-			o.Faults = []Fault{{What: "fail", Share: 1, At: 6 * time.Second, For: 2 * time.Second}}
+			o.Faults = []Fault{{Name: "fail", Share: 1, At: 6 * time.Second, Duration: 2 * time.Second}}
 		}},
 		{"without-rule-3", func(a Audit) int { return a.Drained }, func(o *Options) {
 			o.Length = 5 * time.Second
-			o.Faults = []Fault{{What: "replace", Share: 0.5, At: 500 * time.Millisecond, For: 500 * time.Millisecond}}
+			o.Faults = []Fault{{Name: "replace", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
 		{"random", func(a Audit) int { return a.Felled }, func(o *Options) { // rule 4: ours without its guard still has its limits
 			o.Length, o.PerSecond = 4*time.Second, 60
-			o.Faults = []Fault{{What: "lose", Share: 0.5, At: 500 * time.Millisecond, For: 500 * time.Millisecond}}
+			o.Faults = []Fault{{Name: "lose", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
 		// One job in seventeen is bound to a room.
 		{"without-rule-6", func(a Audit) int { return a.Strayed }, func(o *Options) { o.PerSecond = 30 }},
 		{"without-rule-7", func(a Audit) int { return a.Excess }, func(o *Options) {
 			o.PerSecond = 16
-			o.Faults = []Fault{{What: "fail", Share: 1, At: 500 * time.Millisecond, For: 2 * time.Second}}
+			o.Faults = []Fault{{Name: "fail", Share: 1, At: 500 * time.Millisecond, Duration: 2 * time.Second}}
 		}},
 	} {
 		t.Run(c.policy, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			t.Parallel()
 			r, err := Run(context.Background(), Options{Program: program, Controllers: 6, Engines: 4, Cores: 2, Rooms: 2, PerSecond: 8,
 				Length: 4 * time.Second, Seed: 7, Ruled: true, Say: t.Logf,
-				Faults: []Fault{{What: what, Share: 0.5, At: time.Second, For: 1500 * time.Millisecond}}})
+				Faults: []Fault{{Name: what, Share: 0.5, At: time.Second, Duration: 1500 * time.Millisecond}}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/lab/fleet/seen.go
+++ b/lab/fleet/seen.go
@@ -15,184 +15,186 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
-// visit is an attempt at an engine, with the job's id, and when it was over there.
-type visit struct {
-	spread.Visit
-	id   string
-	over time.Duration
-	wait time.Duration // for which the controller waits, as it told
+// observedAttempt is an attempt as its engine saw it, with the job's id.
+type observedAttempt struct {
+	spread.Attempt
+	id       string
+	closedAt time.Duration // when it was answered, dropped or lost; 0: still open
+	toldWait time.Duration // how long the controller waits for the answer, as it told the engine
 }
 
-// record is what one engine saw.
-type record struct {
-	began time.Time
+// engineRecorder records the events of one engine.
+type engineRecorder struct {
+	startedAt time.Time
 
 	mu            sync.Mutex
-	visits        []visit
-	open          map[int]int // the visit of each attempt, by its number
+	attempts      []observedAttempt
+	openAttempts  map[int]int // index into attempts by the attempt's run number
 	dials, probes []time.Duration
 }
 
-func (r *record) watch(e engine.Event) {
+// observe records an event. The engine calls it under its lock.
+func (r *engineRecorder) observe(e engine.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := e.At.Sub(r.began)
-	n, known := r.open[e.Run]
+	at := e.At.Sub(r.startedAt)
+	n, isOpen := r.openAttempts[e.Run]
 	switch {
 	case e.What == engine.Dialled:
 		r.dials = append(r.dials, at)
 	case e.What == engine.Probed:
 		r.probes = append(r.probes, at)
 	case e.What == engine.Came:
-		r.open[e.Run] = len(r.visits)
-		r.visits = append(r.visits, visit{Visit: spread.Visit{Came: at, Work: e.Work}, id: e.ID, wait: e.Wait})
-	case !known:
+		r.openAttempts[e.Run] = len(r.attempts)
+		r.attempts = append(r.attempts, observedAttempt{Attempt: spread.Attempt{ArrivedAt: at, Work: e.Work}, id: e.ID, toldWait: e.Wait})
+	case !isOpen:
 	case e.What == engine.Began:
-		r.visits[n].Began = at
+		r.attempts[n].StartedAt = at
 	default:
-		v := &r.visits[n]
-		if v.over == 0 {
-			v.over = at
+		v := &r.attempts[n]
+		if v.closedAt == 0 {
+			v.closedAt = at
 		}
-		if v.Began > 0 {
-			v.Ended = at
+		if v.StartedAt > 0 {
+			v.EndedAt = at
 		}
 	}
 }
 
-func (r *record) all() ([]visit, []time.Duration, []time.Duration) {
+// snapshot returns copies of the attempts, the times of dials and the times of probes.
+func (r *engineRecorder) snapshot() ([]observedAttempt, []time.Duration, []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.visits), slices.Clone(r.dials), slices.Clone(r.probes)
+	return slices.Clone(r.attempts), slices.Clone(r.dials), slices.Clone(r.probes)
 }
 
-// guests are the clients of one controller.
-type guests struct {
-	fleet     *fleet
-	number    int
-	process   *Process
-	rng       *rand.Rand
-	perSecond float64
-	open      sync.WaitGroup
+// clientGroup plays the clients of one controller and records what became of their jobs.
+type clientGroup struct {
+	fleet         *fleet
+	controller    int
+	process       *Process
+	rng           *rand.Rand
+	jobsPerSecond float64
+	pending       sync.WaitGroup
 
-	mu      sync.Mutex
-	client  *load.Client
-	jobs    map[string]*spread.Job
-	order   []string
-	lost    int
-	asked   map[string]*ask
-	hot     float64       // jobs a second while it is above 0
-	eager   bool          // asks again at once what was turned away
-	leaves  bool          // gives up early
-	excused bool          // the controller is being killed
-	lives   int           // how often it was: what was sent to an earlier life is not lost, whenever that is noticed
-	away    bool          // the front has taken the controller out
-	stopped time.Duration // for how long the controller stood still
-	strays  int
+	mu              sync.Mutex
+	client          *load.Client
+	outcomes        map[string]*spread.Job
+	sentOrder       []string
+	lost            int
+	sentJobs        map[string]*sentJob
+	overrideRate    float64       // jobs per second; used where it is above jobsPerSecond
+	retriesRejected bool          // clients send a rejected job again at once
+	abandonsEarly   bool          // clients give up after a tenth of the deadline
+	lossExcused     bool          // the controller is being killed
+	incarnation     int           // number of kills so far; a job sent before the last one never counts as lost, whenever its loss is noticed
+	outOfRotation   bool          // the front end routes no more jobs to the controller
+	standstillTime  time.Duration // how long the controller was stopped
+	strayAnswers    int
 }
 
-// ask sends jobs at times drawn from an exponential distribution, as of many independent clients.
-func (g *guests) ask(over context.Context) {
+// generateJobs sends jobs until ctx ends. The intervals between them follow an exponential distribution, as for many independent clients.
+func (g *clientGroup) generateJobs(ctx context.Context) {
 	for next := time.Now(); ; {
 		g.mu.Lock()
-		rate, leaves := max(g.hot, g.perSecond), g.leaves
+		rate, abandonsEarly := max(g.overrideRate, g.jobsPerSecond), g.abandonsEarly
 		g.mu.Unlock()
 		next = next.Add(time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second)))
-		j := load.Job{ID: fmt.Sprintf("%08x%08x", g.number, g.rng.Uint32())}
+		j := load.Job{ID: fmt.Sprintf("%08x%08x", g.controller, g.rng.Uint32())}
 		k := &g.fleet.kinds[0]
-		at := g.rng.Float64()
+		draw := g.rng.Float64()
 		for n := range g.fleet.kinds {
-			if at >= k.share && n > 0 {
-				at -= k.share
+			if draw >= k.share && n > 0 {
+				draw -= k.share
 				k = &g.fleet.kinds[n]
 			}
 		}
 		work := time.Duration((0.5 + g.rng.Float64()) * float64(k.work))
-		j.Type, j.Wait, j.CostMS = k.name, k.wait, float64(work)/float64(time.Millisecond)
-		a := &ask{controller: g.number, kind: k}
-		if k.keyed {
+		j.Type, j.Wait, j.CostMS = k.name, k.deadline, float64(work)/float64(time.Millisecond)
+		sent := &sentJob{controller: g.controller, kind: k}
+		if k.hasDedupKey {
 			j.Once = fmt.Sprintf("%016x%016x", g.rng.Uint64(), g.rng.Uint64())
 		}
 		j.Statement = engine.Work(k.statement, work)
 		timer := time.NewTimer(time.Until(next))
 		select {
-		case <-over.Done():
+		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
 		}
-		g.send(j, a, 0)
-		if leaves {
-			time.AfterFunc(j.Wait/10, func() { g.giveUp(j.ID) })
+		g.send(j, sent, 0)
+		if abandonsEarly {
+			time.AfterFunc(j.Wait/10, func() { g.abandon(j.ID) })
 		}
 	}
 }
 
-// giveUp tells the controller that nobody waits for a job that is still open.
-func (g *guests) giveUp(id string) {
+// abandon cancels a job that is still unanswered: it tells the controller that its client has given up.
+func (g *clientGroup) abandon(id string) {
 	g.mu.Lock()
-	job, c := g.jobs[id], g.client
-	open := job != nil && job.Answered == 0 && c != nil
+	job, c := g.outcomes[id], g.client
+	open := job != nil && job.AnsweredAt == 0 && c != nil
 	if open {
-		delete(g.jobs, id)
-		g.asked[id].left = time.Since(g.fleet.began)
+		delete(g.outcomes, id)
+		g.sentJobs[id].abandonedAt = time.Since(g.fleet.startedAt)
 	}
 	g.mu.Unlock()
 	if open && c.Leave(id) {
-		g.open.Done()
+		g.pending.Done()
 	}
 }
 
-// heat sets another rate, or with 0 the usual one.
-func (g *guests) heat(perSecond float64) {
+// setRate raises the job rate to perSecond; 0 restores the usual rate.
+func (g *clientGroup) setRate(perSecond float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hot = perSecond
+	g.overrideRate = perSecond
 }
 
-// behave has clients ask again at once, or give up early.
-func (g *guests) behave(how string, yes bool) {
+// setBehavior turns a behavior of clients on or off: with "eager" they send a rejected job again at once, otherwise they give up early.
+func (g *clientGroup) setBehavior(behavior string, enabled bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if how == "eager" {
-		g.eager = yes
+	if behavior == "eager" {
+		g.retriesRejected = enabled
 	} else {
-		g.leaves = yes
+		g.abandonsEarly = enabled
 	}
 }
 
-// send asks on the present connection, or a new one: the one before may be over or take no more.
-func (g *guests) send(j load.Job, a *ask, again int) {
-	job := &spread.Job{Controller: g.number}
-	g.open.Add(1)
+// send sends a job on the current connection, or on a new one if that is closed or accepts no more jobs.
+func (g *clientGroup) send(j load.Job, sent *sentJob, retries int) {
+	job := &spread.Job{Controller: g.controller}
+	g.pending.Add(1)
 	for try := 0; ; try++ {
 		g.mu.Lock()
-		c, away := g.client, g.away
+		c, outOfRotation := g.client, g.outOfRotation
 		g.mu.Unlock()
-		if away && (c == nil || !g.fleet.Stay) {
-			g.notSent(j.ID)
+		if outOfRotation && (c == nil || !g.fleet.KeepConnections) {
+			g.forgetUnsent(j.ID)
 			return
 		}
 		if c == nil {
 			c = g.dial()
 		}
-		if c == nil && try < mostDials {
+		if c == nil && try < maxDials {
 			time.Sleep(10 * time.Millisecond)
 			continue
-		} else if c == nil { // nobody is there
-			g.notSent(j.ID)
+		} else if c == nil { // the controller does not listen
+			g.forgetUnsent(j.ID)
 			return
 		}
 		g.mu.Lock()
-		job.Sent = time.Since(g.fleet.began) // its time counts from when it is sent
-		a.sent = job.Sent
-		if _, was := g.jobs[j.ID]; !was {
-			g.jobs[j.ID], g.asked[j.ID] = job, a
-			a.life = g.lives
-			g.order = append(g.order, j.ID)
+		job.SentAt = time.Since(g.fleet.startedAt) // the deadline counts from here
+		sent.sentAt = job.SentAt
+		if _, alreadySent := g.outcomes[j.ID]; !alreadySent {
+			g.outcomes[j.ID], g.sentJobs[j.ID] = job, sent
+			sent.incarnation = g.incarnation
+			g.sentOrder = append(g.sentOrder, j.ID)
 		}
 		g.mu.Unlock()
-		if c.Ask(j, func(said load.Answer, err error) { g.answered(j, job, a, again, said, err) }) == nil {
+		if c.Ask(j, func(answer load.Answer, err error) { g.handleAnswer(j, job, sent, retries, answer, err) }) == nil {
 			return
 		}
 		g.mu.Lock()
@@ -203,118 +205,121 @@
 	}
 }
 
-// notSent tells that a job was never taken: no connection took it.
-func (g *guests) notSent(id string) {
+// forgetUnsent drops a job that no connection accepted.
+func (g *clientGroup) forgetUnsent(id string) {
 	g.mu.Lock()
-	delete(g.jobs, id)
+	delete(g.outcomes, id)
 	g.mu.Unlock()
-	g.open.Done()
+	g.pending.Done()
 }
 
-// mostDials is how often a job tries to reach a controller that is starting, a hundredth of a second apart.
-const mostDials = 20
+// maxDials is how often a client dials a controller that is starting, at intervals of 10 ms.
+const maxDials = 20
 
-func (g *guests) dial() *load.Client {
+// dial opens a new current connection. It returns nil if the controller does not listen.
+func (g *clientGroup) dial() *load.Client {
 	c, err := load.Dial(g.process.Listen)
 	if err != nil {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.fleet.Stay {
+	if g.fleet.KeepConnections {
 		c.Stay()
 	}
 	if g.client != nil {
-		g.strays += g.client.Strays()
+		g.strayAnswers += g.client.Strays()
 	}
 	g.client = c
 	return c
 }
 
-func (g *guests) answered(j load.Job, job *spread.Job, a *ask, again int, said load.Answer, err error) {
-	defer g.open.Done()
+// handleAnswer records the answer to a job, or that its connection ended without one. A job that crossed with the end of its connection
+// does not count as lost.
+func (g *clientGroup) handleAnswer(j load.Job, job *spread.Job, sent *sentJob, retries int, answer load.Answer, err error) {
+	defer g.pending.Done()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		now := time.Since(g.fleet.began)
-		crossed := errors.Is(err, load.ErrCrossed) || g.fleet.Stay && now-a.sent < crossing+g.fleet.delay.between(a.sent, now)
-		if delete(g.jobs, j.ID); !g.excused && a.life == g.lives && !crossed {
+		now := time.Since(g.fleet.startedAt)
+		crossed := errors.Is(err, load.ErrCrossed) || g.fleet.KeepConnections && now-sent.sentAt < crossingWindow+g.fleet.stalls.stalledBetween(sent.sentAt, now)
+		if delete(g.outcomes, j.ID); !g.lossExcused && sent.incarnation == g.incarnation && !crossed {
 			g.lost++
-			g.fleet.say("lost: %s of controller %d, %s, sent at %v, its connection over after %v, of which the rig lost %v: %v", j.ID, g.number,
-				a.kind.name, a.sent, now-a.sent, g.fleet.delay.between(a.sent, now), err)
+			g.fleet.logf("lost: %s of controller %d, %s, sent at %v, connection ended after %v, the rig was stalled for %v of that: %v", j.ID, g.controller,
+				sent.kind.name, sent.sentAt, now-sent.sentAt, g.fleet.stalls.stalledBetween(sent.sentAt, now), err)
 		}
 		return
 	}
-	job.Answered = time.Since(g.fleet.began)
-	job.Done, job.Rejected = said.Code == frame.Done, said.Code == frame.Rejected
-	job.InTime = job.Done && said.Took <= a.kind.sla
-	if job.Rejected && g.eager && again < mostAgain {
-		j.ID = fmt.Sprintf("%s%02x%s", j.ID[:8], 0xf0+again, j.ID[10:])
-		next := *a
-		g.open.Add(1)
-		go func() { defer g.open.Done(); g.send(j, &next, again+1) }()
+	job.AnsweredAt = time.Since(g.fleet.startedAt)
+	job.Done, job.Rejected = answer.Code == frame.Done, answer.Code == frame.Rejected
+	job.InTime = job.Done && answer.Took <= sent.kind.sla
+	if job.Rejected && g.retriesRejected && retries < maxClientRetries {
+		j.ID = fmt.Sprintf("%s%02x%s", j.ID[:8], 0xf0+retries, j.ID[10:])
+		next := *sent
+		g.pending.Add(1)
+		go func() { defer g.pending.Done(); g.send(j, &next, retries+1) }()
 	}
 }
 
-// mostAgain is how often an eager client asks again.
-const mostAgain = 2
+// maxClientRetries is how often an eager client sends a rejected job again.
+const maxClientRetries = 2
 
-// crossing is how soon after it was sent a job may meet the end of its connection: its client sends it again. It is the protocol's;
-// time in which the rig itself did not run is added.
-const crossing = 50 * time.Millisecond
+// crossingWindow is how soon after a job was sent its connection may end without the job counting as lost: the two crossed on the wire,
+// and the client would send the job again. The protocol sets it; time in which the rig itself was stalled is added.
+const crossingWindow = 50 * time.Millisecond
 
-// stands tells that the controller stands still for some time, in which it can answer nothing.
-func (g *guests) stands(length time.Duration) {
+// addStandstill notes that the controller is stopped for some time, in which it cannot answer.
+func (g *clientGroup) addStandstill(length time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stopped += length
+	g.standstillTime += length
 }
 
-// excuse has what is open, or sent until it is taken back, not count as lost.
-func (g *guests) excuse(yes bool) {
+// excuseLosses with true stops counting losses of jobs that are open or are sent from now on; with false, jobs sent from then on count again.
+func (g *clientGroup) excuseLosses(excused bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.excused = yes; yes {
-		g.lives++
+	if g.lossExcused = excused; excused {
+		g.incarnation++
 	}
 }
 
-// stayAway has nothing sent, as when the front has taken a controller out.
-func (g *guests) stayAway(yes bool) {
+// setOutOfRotation stops or resumes sending jobs, as a front end does with a controller that it takes out of rotation.
+func (g *clientGroup) setOutOfRotation(out bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.away = yes
+	g.outOfRotation = out
 }
 
-// answerGrace is by how much an answer may come after its job's time: later ones count as lost. It is the protocol's half a
-// second.
+// answerGrace is how late after its job's deadline an answer may arrive, half a second by the protocol. Later answers are overdue.
 const answerGrace = 500 * time.Millisecond
 
-// overdue counts the jobs whose answer came too late to be one.
-func (g *guests) overdue() (n int) {
+// countOverdue returns the number of jobs whose answer arrived later than answerGrace after their deadline. Time in which the controller
+// was stopped is allowed for.
+func (g *clientGroup) countOverdue() (overdue int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id, j := range g.jobs {
-		late := j.Answered - j.Sent - g.asked[id].kind.wait
-		if j.Answered > 0 && late > answerGrace+g.stopped {
-			n++
-			g.fleet.say("overdue: %s of controller %d, sent at %v, by %v", id, g.number, j.Sent, late)
+	for id, j := range g.outcomes {
+		lateBy := j.AnsweredAt - j.SentAt - g.sentJobs[id].kind.deadline
+		if j.AnsweredAt > 0 && lateBy > answerGrace+g.standstillTime {
+			overdue++
+			g.fleet.logf("overdue: %s of controller %d, sent at %v, late by %v", id, g.controller, j.SentAt, lateBy)
 		}
 	}
-	return n
+	return overdue
 }
 
-// wait is for the last answers.
-func (g *guests) wait(most time.Duration) {
-	all := make(chan bool)
-	go func() { g.open.Wait(); close(all) }()
+// awaitAnswers waits until no job is pending, for at most timeout.
+func (g *clientGroup) awaitAnswers(timeout time.Duration) {
+	answered := make(chan bool)
+	go func() { g.pending.Wait(); close(answered) }()
 	select {
-	case <-all:
-	case <-time.After(most):
+	case <-answered:
+	case <-time.After(timeout):
 	}
 }
 
-func (g *guests) close() {
+func (g *clientGroup) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.client != nil {
@@ -322,24 +327,25 @@
 	}
 }
 
-// all gives the jobs, with what engines saw of them.
-func (g *guests) all(came map[string]time.Duration, asked map[string]*ask) (jobs []spread.Job, lost, doubled int) {
+// collect returns the group's jobs with the time at which each first reached an engine, how many were lost, and how many answers were
+// duplicate or unexpected. It adds the sent jobs to sentJobs.
+func (g *clientGroup) collect(arrivedAt map[string]time.Duration, sentJobs map[string]*sentJob) (jobs []spread.Job, lost, doubled int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id, a := range g.asked {
-		asked[id] = a
+	for id, sent := range g.sentJobs {
+		sentJobs[id] = sent
 	}
-	for _, id := range g.order {
-		if j := g.jobs[id]; j != nil {
+	for _, id := range g.sentOrder {
+		if j := g.outcomes[id]; j != nil {
 			job := *j
-			job.Came, job.Reached = came[id]
+			job.ArrivedAt, job.ReachedEngine = arrivedAt[id]
 			jobs = append(jobs, job)
-			if job.Answered == 0 {
+			if job.AnsweredAt == 0 {
 				lost++
 			}
 		}
 	}
-	doubled = g.strays
+	doubled = g.strayAnswers
 	if g.client != nil {
 		doubled += g.client.Strays()
 	}
--- a/lab/fleet/spread/picture.go
+++ b/lab/fleet/spread/picture.go
@@ -3,52 +3,52 @@
 import "time"
 
 // Picture is a run over time, for plots.
-type Picture struct {
-	Window         time.Duration `json:"window_ns"`
-	Engines        [][]float64   `json:"engines"` // core time used by engine and window, over what it has
-	Jobs           []Slice       `json:"jobs"`    // by window, of when they were sent
-	Controllers    []Share       `json:"controllers"`
-	Dials          []int         `json:"dials"` // by window
-	DiscoveryCalls []int         `json:"discovery_calls"`
+type Timeline struct {
+	Window         time.Duration       `json:"window_ns"`
+	Engines        [][]float64         `json:"engines"` // core time used by engine and window, over what it has
+	Jobs           []JobOutcomes       `json:"jobs"`    // by window, of when they were sent
+	Controllers    []ControllerOutcome `json:"controllers"`
+	Dials          []int               `json:"dials"` // by window
+	DiscoveryCalls []int               `json:"discovery_calls"`
 }
 
 // Slice is what became of the jobs of one window.
-type Slice struct {
-	Sent     int `json:"Sent"`
-	InTime   int `json:"InTime"`
-	Late     int `json:"Late"`
-	Rejected int `json:"Rejected"`
-	None     int `json:"None"`
+type JobOutcomes struct {
+	Sent       int `json:"Sent"`
+	InTime     int `json:"InTime"`
+	Late       int `json:"Late"`
+	Rejected   int `json:"Rejected"`
+	Unanswered int `json:"None"`
 }
 
 // Share is how many jobs a controller had, and how many of them were done in time.
-type Share struct {
+type ControllerOutcome struct {
 	Jobs   int `json:"Jobs"`
 	InTime int `json:"InTime"`
 }
 
 // pictureWindow shows faults of a second, and keeps a minute of 80 engines small.
-const pictureWindow = 250 * time.Millisecond
+const timelineWindow = 250 * time.Millisecond
 
 // Draw gives the picture of a run.
-func Draw(r Run) *Picture {
-	n := max(int((r.To-r.From)/pictureWindow), 1)
-	p := &Picture{Window: pictureWindow, Engines: make([][]float64, r.Engines), Jobs: make([]Slice, n),
-		Controllers: make([]Share, r.Controllers), Dials: make([]int, n), DiscoveryCalls: make([]int, n)}
+func NewTimeline(r Observations) *Timeline {
+	n := max(int((r.To-r.From)/timelineWindow), 1)
+	p := &Timeline{Window: timelineWindow, Engines: make([][]float64, r.Engines), Jobs: make([]JobOutcomes, n),
+		Controllers: make([]ControllerOutcome, r.Controllers), Dials: make([]int, n), DiscoveryCalls: make([]int, n)}
 	at := func(t time.Duration) int {
-		if !r.inside(t) {
+		if !r.inMeasuredSpan(t) {
 			return -1
 		}
-		return min(int((t-r.From)/pictureWindow), n-1)
+		return min(int((t-r.From)/timelineWindow), n-1)
 	}
 	for e := range p.Engines {
 		p.Engines[e] = make([]float64, n)
 	}
-	for _, v := range r.Visits {
-		p.use(r, v)
+	for _, v := range r.Attempts {
+		p.addAttempt(r, v)
 	}
 	for _, j := range r.Jobs {
-		w := at(j.Sent)
+		w := at(j.SentAt)
 		if w < 0 {
 			continue
 		}
@@ -64,7 +64,7 @@
 		case j.Rejected:
 			s.Rejected++
 		default:
-			s.None++
+			s.Unanswered++
 		}
 	}
 	for counts, times := range map[*[]int][]time.Duration{&p.Dials: r.Dials, &p.DiscoveryCalls: r.DiscoveryCalls} {
@@ -78,12 +78,12 @@
 }
 
 // use adds the time that an attempt ran to the windows of its engine, as a part of its cores: above 1 jobs share them.
-func (p *Picture) use(r Run, v Visit) {
-	for from := v.Began - r.From; v.Ended > v.Began && from < v.Ended-r.From; {
+func (p *Timeline) addAttempt(r Observations, v Attempt) {
+	for from := v.StartedAt - r.From; v.EndedAt > v.StartedAt && from < v.EndedAt-r.From; {
 		w := int(from / p.Window)
-		to := min(v.Ended-r.From, time.Duration(w+1)*p.Window)
+		to := min(v.EndedAt-r.From, time.Duration(w+1)*p.Window)
 		if from >= 0 && w < len(p.Engines[v.Engine]) {
-			p.Engines[v.Engine][w] += float64(to-from) / float64(p.Window) / float64(r.cores(v.Engine))
+			p.Engines[v.Engine][w] += float64(to-from) / float64(p.Window) / float64(r.coresOf(v.Engine))
 		} else if from >= 0 {
 			return
 		}
--- a/lab/fleet/spread/spread.go
+++ b/lab/fleet/spread/spread.go
@@ -12,34 +12,34 @@
 
 // Job is one job as its client and the engines saw it.
 type Job struct {
-	Controller int
-	Sent       time.Duration
-	Answered   time.Duration // 0: never
-	Done       bool
-	Rejected   bool
-	InTime     bool // done within the latency target
-	Came       time.Duration
-	Reached    bool // an engine read it, first at Came
+	Controller    int
+	SentAt        time.Duration
+	AnsweredAt    time.Duration // 0: never
+	Done          bool
+	Rejected      bool
+	InTime        bool // done within the latency target
+	ArrivedAt     time.Duration
+	ReachedEngine bool // an engine read it, first at Came
 }
 
 // Visit is one attempt as its engine saw it.
-type Visit struct {
-	Engine int
-	Came   time.Duration
-	Work   time.Duration
-	Began  time.Duration // runs from then
-	Ended  time.Duration // until then; 0 for one that never began
+type Attempt struct {
+	Engine    int
+	ArrivedAt time.Duration
+	Work      time.Duration
+	StartedAt time.Duration // runs from then
+	EndedAt   time.Duration // until then; 0 for one that never began
 }
 
 // Run is what is to be told about.
-type Run struct {
+type Observations struct {
 	From, To       time.Duration // what lies outside is left out
 	Engines        int
-	Cores          int   // of each, or
-	CoresOf        []int // of each by number
+	CoresPerEngine int   // of each, or
+	CoresByEngine  []int // of each by number
 	Controllers    int
 	Jobs           []Job
-	Visits         []Visit
+	Attempts       []Attempt
 	Dials          []time.Duration // of all controllers at all engines
 	Probes         []time.Duration
 	DiscoveryCalls []time.Duration
@@ -84,105 +84,105 @@
 
 // onTheWay is how long a job that reached no engine counts as on its way and not as held: the way from the client through a
 // controller, on a machine that runs hundreds of them.
-const onTheWay = 25 * time.Millisecond
+const transitTime = 25 * time.Millisecond
 
 // leastJobs of a controller tell about its share in time.
-const leastJobs = 10
+const minJobsPerController = 10
 
 // Tell works the figures out.
-func Tell(r Run) Figures {
+func Compute(r Observations) Figures {
 	var f Figures
 	for _, length := range []time.Duration{herdWindow, time.Second, 10 * time.Second} {
 		if length <= r.To-r.From {
-			f.Windows = append(f.Windows, r.window(length))
+			f.Windows = append(f.Windows, r.workBalance(length))
 		}
 	}
-	f.Herd, f.HerdMost, f.Surge = r.herd()
-	f.Dials, f.Probes, f.DiscoveryCalls = r.peak(r.Dials), r.peak(r.Probes), r.peak(r.DiscoveryCalls)
-	r.jobs(&f)
-	r.idle(&f)
+	f.Herd, f.HerdMost, f.Surge = r.arrivalDispersion()
+	f.Dials, f.Probes, f.DiscoveryCalls = r.peakRate(r.Dials), r.peakRate(r.Probes), r.peakRate(r.DiscoveryCalls)
+	r.countJobs(&f)
+	r.measureIdle(&f)
 	return f
 }
 
 // cores of an engine.
-func (r Run) cores(engine int) int {
-	if engine < len(r.CoresOf) {
-		return r.CoresOf[engine]
+func (r Observations) coresOf(engine int) int {
+	if engine < len(r.CoresByEngine) {
+		return r.CoresByEngine[engine]
 	}
-	return max(r.Cores, 1)
+	return max(r.CoresPerEngine, 1)
 }
 
 // allCores over all engines.
-func (r Run) allCores() (n int) {
+func (r Observations) totalCores() (total int) {
 	for e := range r.Engines {
-		n += r.cores(e)
+		total += r.coresOf(e)
 	}
-	return n
+	return total
 }
 
-func (r Run) inside(at time.Duration) bool { return at >= r.From && at < r.To }
+func (r Observations) inMeasuredSpan(at time.Duration) bool { return at >= r.From && at < r.To }
 
 // bins counts what engines got in windows: weight by engine and window.
-func (r Run) bins(length time.Duration, weight func(Visit) float64) [][]float64 {
+func (r Observations) binArrivals(length time.Duration, weight func(Attempt) float64) [][]float64 {
 	n := int((r.To - r.From) / length)
 	bins := make([][]float64, r.Engines)
 	for e := range bins {
 		bins[e] = make([]float64, n)
 	}
-	for _, v := range r.Visits {
-		if at := int((v.Came - r.From) / length); r.inside(v.Came) && at < n {
+	for _, v := range r.Attempts {
+		if at := int((v.ArrivedAt - r.From) / length); r.inMeasuredSpan(v.ArrivedAt) && at < n {
 			bins[v.Engine][at] += weight(v)
 		}
 	}
 	return bins
 }
 
-func (r Run) window(length time.Duration) Window {
+func (r Observations) workBalance(length time.Duration) Window {
 	// By capacity, so that an engine of twice the cores should get twice the work.
-	mean := float64(r.allCores()) / float64(r.Engines)
-	bins := r.bins(length, func(v Visit) float64 { return v.Work.Seconds() * mean / float64(r.cores(v.Engine)) })
+	mean := float64(r.totalCores()) / float64(r.Engines)
+	bins := r.binArrivals(length, func(v Attempt) float64 { return v.Work.Seconds() * mean / float64(r.coresOf(v.Engine)) })
 	w := Window{Length: length}
-	used := 0.0
+	windows := 0.0
 	for at := range bins[0] {
-		got := make([]float64, r.Engines)
+		work := make([]float64, r.Engines)
 		for e := range bins {
-			got[e] = bins[e][at]
+			work[e] = bins[e][at]
 		}
-		mean, deviation := stat.PopMeanStdDev(got, nil)
+		mean, deviation := stat.PopMeanStdDev(work, nil)
 		if mean == 0 {
 			continue
 		}
-		used++
-		w.Busiest += slices.Max(got) / mean
-		w.Idlest += slices.Min(got) / mean
+		windows++
+		w.Busiest += slices.Max(work) / mean
+		w.Idlest += slices.Min(work) / mean
 		w.Variance += deviation / mean
 	}
-	if used > 0 {
-		w.Busiest, w.Idlest, w.Variance = w.Busiest/used, w.Idlest/used, w.Variance/used
+	if windows > 0 {
+		w.Busiest, w.Idlest, w.Variance = w.Busiest/windows, w.Idlest/windows, w.Variance/windows
 	}
 	return w
 }
 
-func (r Run) herd() (mean, most, surge float64) {
-	bins := r.bins(herdWindow, func(Visit) float64 { return 1 })
-	var all []float64
+func (r Observations) arrivalDispersion() (mean, maxRatio, surge float64) {
+	bins := r.binArrivals(herdWindow, func(Attempt) float64 { return 1 })
+	var ratios []float64
 	for _, counts := range bins {
 		if m, v := stat.PopMeanVariance(counts, nil); m > 0 {
-			all = append(all, v/m)
+			ratios = append(ratios, v/m)
 			surge = math.Max(surge, slices.Max(counts)/m)
 		}
 	}
-	if len(all) == 0 {
+	if len(ratios) == 0 {
 		return 0, 0, 0
 	}
-	return stat.Mean(all, nil), slices.Max(all), surge
+	return stat.Mean(ratios, nil), slices.Max(ratios), surge
 }
 
-func (r Run) peak(at []time.Duration) Peak {
+func (r Observations) peakRate(at []time.Duration) Peak {
 	counts := make([]float64, max(int((r.To-r.From)/time.Second), 1))
 	total := 0
 	for _, t := range at {
-		if n := int((t - r.From) / time.Second); r.inside(t) && n < len(counts) {
+		if n := int((t - r.From) / time.Second); r.inMeasuredSpan(t) && n < len(counts) {
 			counts[n]++
 			total++
 		}
@@ -193,10 +193,10 @@
 	return Peak{total, slices.Max(counts) / stat.Mean(counts, nil)}
 }
 
-func (r Run) jobs(f *Figures) {
+func (r Observations) countJobs(f *Figures) {
 	sent, inTime := make([]float64, r.Controllers), make([]float64, r.Controllers)
 	for _, j := range r.Jobs {
-		if !r.inside(j.Sent) {
+		if !r.inMeasuredSpan(j.SentAt) {
 			continue
 		}
 		f.Jobs++
@@ -207,19 +207,19 @@
 		if j.Rejected {
 			f.Rejected++
 		}
-		if j.Answered == 0 {
+		if j.AnsweredAt == 0 {
 			f.Lost++
 		}
 	}
 	visits := 0
-	for _, v := range r.Visits {
-		if r.inside(v.Came) {
+	for _, v := range r.Attempts {
+		if r.inMeasuredSpan(v.ArrivedAt) {
 			visits++
 		}
 	}
 	var shares []float64
 	for c := range sent {
-		if sent[c] >= leastJobs {
+		if sent[c] >= minJobsPerController {
 			shares = append(shares, inTime[c]/sent[c])
 		}
 	}
@@ -234,73 +234,73 @@
 
 // change is one step of what goes on: cores of an engine, or jobs held. A rejected job is looked at before the steps
 // of its instant.
-type change struct {
-	at      time.Duration
-	engine  int // -1: a job is held or no longer
-	by      int
-	refused bool
+type step struct {
+	at       time.Duration
+	engine   int // -1: a job is held or no longer
+	delta    int
+	rejected bool
 }
 
 // idle walks through all changes in order of time.
-func (r Run) idle(f *Figures) {
-	var steps []change
-	for _, v := range r.Visits {
-		if v.Ended > v.Began {
-			steps = append(steps, change{v.Began, v.Engine, 1, false}, change{v.Ended, v.Engine, -1, false})
+func (r Observations) measureIdle(f *Figures) {
+	var steps []step
+	for _, v := range r.Attempts {
+		if v.EndedAt > v.StartedAt {
+			steps = append(steps, step{v.StartedAt, v.Engine, 1, false}, step{v.EndedAt, v.Engine, -1, false})
 		}
 	}
 	for _, j := range r.Jobs {
-		until := j.Came
-		if !j.Reached {
-			until = j.Answered
+		until := j.ArrivedAt
+		if !j.ReachedEngine {
+			until = j.AnsweredAt
 		}
-		if from := j.Sent + onTheWay; until > from {
-			steps = append(steps, change{from, -1, 1, false}, change{until, -1, -1, false})
+		if from := j.SentAt + transitTime; until > from {
+			steps = append(steps, step{from, -1, 1, false}, step{until, -1, -1, false})
 		}
-		if j.Rejected && r.inside(j.Sent) {
-			steps = append(steps, change{j.Answered, -1, 0, true})
+		if j.Rejected && r.inMeasuredSpan(j.SentAt) {
+			steps = append(steps, step{j.AnsweredAt, -1, 0, true})
 		}
 	}
-	slices.SortStableFunc(steps, func(a, b change) int {
+	slices.SortStableFunc(steps, func(a, b step) int {
 		if a.at != b.at {
 			return int(min(max(a.at-b.at, -1), 1))
 		}
-		return a.by - b.by
+		return a.delta - b.delta
 	})
-	running, held, last := make([]int, r.Engines), 0, r.From
-	free, used := r.Engines, 0
+	running, heldJobs, last := make([]int, r.Engines), 0, r.From
+	freeEngines, usedCores := r.Engines, 0
 	var idle, busy float64
 	stranded := 0
 	for _, s := range steps {
-		if s.refused && free > 0 {
+		if s.rejected && freeEngines > 0 {
 			stranded++
 		}
-		if to := min(s.at, r.To); to > last {
-			span := (to - last).Seconds()
-			busy += span * float64(used)
-			if held > 0 {
-				idle += span * float64(free)
+		if until := min(s.at, r.To); until > last {
+			span := (until - last).Seconds()
+			busy += span * float64(usedCores)
+			if heldJobs > 0 {
+				idle += span * float64(freeEngines)
 			}
-			last = to
+			last = until
 		}
 		if s.engine < 0 {
-			held += s.by
+			heldJobs += s.delta
 			continue
 		}
 		before := running[s.engine]
-		running[s.engine] += s.by
-		cores := r.cores(s.engine)
-		used += min(running[s.engine], cores) - min(before, cores)
-		was := before < cores
-		if is := running[s.engine] < cores; was && !is {
-			free--
-		} else if is && !was {
-			free++
+		running[s.engine] += s.delta
+		cores := r.coresOf(s.engine)
+		usedCores += min(running[s.engine], cores) - min(before, cores)
+		wasFree := before < cores
+		if isFree := running[s.engine] < cores; wasFree && !isFree {
+			freeEngines--
+		} else if isFree && !wasFree {
+			freeEngines++
 		}
 	}
 	if span := (r.To - r.From).Seconds(); span > 0 && r.Engines > 0 {
 		f.Idle = idle / span / float64(r.Engines)
-		f.Busy = busy / span / float64(max(r.allCores(), 1))
+		f.Busy = busy / span / float64(max(r.totalCores(), 1))
 	}
 	if f.Jobs > 0 {
 		f.Stranded = float64(stranded) / float64(f.Jobs)
--- a/lab/fleet/standstill_test.go
+++ b/lab/fleet/standstill_test.go
@@ -374,7 +374,7 @@
 				signals <- sent
 				return
 			default:
-				if p.SignalIfTaken(syscall.SIGHUP) && p.SignalIfTaken(syscall.SIGUSR1) {
+				if p.SignalIfHandled(syscall.SIGHUP) && p.SignalIfHandled(syscall.SIGUSR1) {
 					sent++
 				}
 				time.Sleep(100 * time.Microsecond)
--- a/lab/fleet/thousands_test.go
+++ b/lab/fleet/thousands_test.go
@@ -18,9 +18,9 @@
 func replaceThousands(t *testing.T, settled int) {
 	r, err := Run(context.Background(), Options{Program: program, Controllers: 4, Settled: settled, Engines: 3200, Cores: 1, PerSecond: 15,
 		Length: 7 * time.Second, Seed: 1, Say: t.Logf, Faults: []Fault{
-			{What: "replace", Share: 0.5, At: time.Second, For: 3 * time.Second},
-			{What: "term", Share: 0.25, At: 2 * time.Second},
-			{What: "kill", Share: 0.25, At: 3 * time.Second},
+			{Name: "replace", Share: 0.5, At: time.Second, Duration: 3 * time.Second},
+			{Name: "term", Share: 0.25, At: 2 * time.Second},
+			{Name: "kill", Share: 0.25, At: 3 * time.Second},
 		}})
 	if err != nil {
 		t.Fatal(err)
