--- a/lab/fleet/audit.go
+++ b/lab/fleet/audit.go
@@ -64,8 +64,8 @@
 		return
 	}
 	text := fmt.Sprintf("%s: %s of controller %d, %s, sent at %v, abandoned at %v", rule, id, job.controller, job.kind.name, job.sentAt, job.abandonedAt)
-	for _, v := range attempts {
-		text += fmt.Sprintf("; at %s %v to %v, told to wait %v", v.host.name, v.ArrivedAt, v.closedAt, v.toldWait)
+	for _, attempt := range attempts {
+		text += fmt.Sprintf("; at %s %v to %v, told to wait %v", attempt.host.name, attempt.ArrivedAt, attempt.closedAt, attempt.toldWait)
 	}
 	e.logf("%s", text)
 }
@@ -161,12 +161,12 @@
 // repeatedUnsafely reports whether a job was sent again although an earlier attempt started and the job must not run twice: at any
 // time, or for jobs with a dedup key once the engine no longer recognizes the repeat.
 func (e *evidence) repeatedUnsafely(k *jobKind, attempts []hostAttempt) bool {
-	for n, v := range attempts {
+	for n, attempt := range attempts {
 		for _, earlier := range attempts[:n] {
 			if earlier.StartedAt == 0 { // rejected, or lost before it ran
 				continue
 			}
-			if k.neverRepeated || k.hasDedupKey && v.ArrivedAt > earlier.ArrivedAt+e.dedupWindow+e.slack {
+			if k.neverRepeated || k.hasDedupKey && attempt.ArrivedAt > earlier.ArrivedAt+e.dedupWindow+e.slack {
 				return true
 			}
 		}
@@ -203,19 +203,19 @@
 			continue
 		}
 		var arrived []hostAttempt
-		for _, v := range e.attempts {
-			if v.host == h && v.ArrivedAt >= h.coldStartedAt && v.ArrivedAt < h.coldStartedAt+e.cold.duration {
-				arrived = append(arrived, v)
+		for _, attempt := range e.attempts {
+			if attempt.host == h && attempt.ArrivedAt >= h.coldStartedAt && attempt.ArrivedAt < h.coldStartedAt+e.cold.duration {
+				arrived = append(arrived, attempt)
 			}
 		}
 		maxLoad := 0.0
 		for n, first := range arrived {
 			work := 0.0
-			for _, v := range arrived[n:] {
-				if v.ArrivedAt >= first.ArrivedAt+e.cold.loadWindow {
+			for _, attempt := range arrived[n:] {
+				if attempt.ArrivedAt >= first.ArrivedAt+e.cold.loadWindow {
 					break
 				}
-				work += v.Work.Seconds()
+				work += attempt.Work.Seconds()
 			}
 			age := float64(first.ArrivedAt-h.coldStartedAt) / float64(e.cold.duration)
 			capacity := e.cold.overloadFactor * (e.cold.startCapacity + (1-e.cold.startCapacity)*age) * float64(h.cores) * e.cold.loadWindow.Seconds()
--- a/lab/fleet/fault.go
+++ b/lab/fleet/fault.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong during a run.
+// Fault is one fault to inject during a run.
 type Fault struct {
-	Name     string
-	Share    float64       // of the controllers, engines or rooms, drawn from the seed
-	At       time.Duration // from the start of the load
-	Duration time.Duration // until it is over, where it lasts
+	Name     string        // a key of faults
+	Share    float64       // share of the controllers, engines or rooms that it hits, which the seed selects; above 0 and at most 1
+	At       time.Duration // since the start of the load
+	Duration time.Duration // how long it lasts; 0 for a fault without a duration
 }
 
-// struck is what a fault strikes.
+// faultTarget is what a fault applies to.
 type faultTarget int
 
 const (
@@ -30,45 +30,45 @@
 	targetRooms
 )
 
-// faults are what may go wrong, and whether it lasts. Those on links have relays put between controllers and engines.
+// faults are the known faults by name. Faults on links need relays between controllers and engines.
 var faults = map[string]struct {
 	target               faultTarget
 	hasDuration, onLinks bool
 	description          string
-	excludedFromDraw     bool // is not drawn with the others, whose draws of a seed stay as they are
+	excludedFromDraw     bool // DrawFaults never picks it, so that each seed keeps drawing the same faults
 }{
-	"kill":    {targetControllers, false, false, "controllers are killed and started again at once", false},
-	"term":    {targetControllers, false, false, "controllers get SIGTERM and are started again once they have gone", false},
-	"stop":    {targetControllers, true, false, "controllers stand still", false},
-	"away":    {targetControllers, true, false, "discovery answers nothing to them", false},
-	"late":    {targetControllers, true, false, "their list is so late, until the end", false},
-	"hot":     {targetControllers, true, false, "they get ten times the mean, others each second", false},
-	"signals": {targetControllers, true, false, "they get HUP and USR1 in quick succession, each with another address of discovery", false},
-	"crowd":   {targetControllers, true, false, "idle clients take a third of their descriptors and more", false},
-	"flood":   {target: targetControllers, hasDuration: true, description: "clients send them what can't be read, or all they can, or read no answer", excludedFromDraw: true},
-	"babble":  {target: targetEngines, hasDuration: true, description: "engines answer jobs with bytes that can't be read and do not end", excludedFromDraw: true},
-	"eager":   {targetControllers, true, false, "their clients ask again at once, twice, what was turned away", false},
-	"leave":   {targetControllers, true, false, "their clients give up after a tenth of their time", false},
-	"die":     {targetEngines, true, false, "engines are killed and come back cold, which nobody tells", false},
-	"hang":    {targetEngines, true, false, "engines take jobs and answer none", false},
-	"fail":    {targetEngines, true, false, "engines answer each job with an error, at once", false},
+	"kill":    {targetControllers, false, false, "controllers are killed and restarted at once", false},
+	"term":    {targetControllers, false, false, "controllers get SIGTERM and are restarted once they have exited", false},
+	"stop":    {targetControllers, true, false, "controllers are stopped (SIGSTOP)", false},
+	"away":    {targetControllers, true, false, "discovery answers nothing to the controllers", false},
+	"late":    {targetControllers, true, false, "controllers receive changes of the list late by this duration, until the end of the run", false},
+	"hot":     {targetControllers, true, false, "controllers get ten times the mean job rate; each second others are selected", false},
+	"signals": {targetControllers, true, false, "controllers get HUP and USR1 in quick succession, with changing addresses of discovery", false},
+	"crowd":   {targetControllers, true, false, "idle clients take more than a third of the controllers' descriptors", false},
+	"flood":   {target: targetControllers, hasDuration: true, description: "clients send controllers malformed data, send at full speed, or read no answer", excludedFromDraw: true},
+	"babble":  {target: targetEngines, hasDuration: true, description: "engines answer jobs with endless malformed data", excludedFromDraw: true},
+	"eager":   {targetControllers, true, false, "clients of controllers send a rejected job again at once, up to twice", false},
+	"leave":   {targetControllers, true, false, "clients of controllers give up after a tenth of the deadline", false},
+	"die":     {targetEngines, true, false, "engines are killed and come back cold; the list does not say so", false},
+	"hang":    {targetEngines, true, false, "engines accept jobs and answer none", false},
+	"fail":    {targetEngines, true, false, "engines answer each job with an error at once", false},
 	"slow":    {targetEngines, true, false, "engines take four times as long", false},
-	"flap":    {targetEngines, true, false, "engines take four times as long, by turns of a second", false},
-	"replace": {targetEngines, true, false, "engines drain and others take their places, cold, over that time", false},
-	"silent":  {targetEngines, true, true, "all links to engines are silent", false},
-	"delay":   {targetEngines, true, true, "each way on links to engines takes 100 to 200 ms", false},
-	"reset":   {targetEngines, true, true, "connections to engines are reset, after 2 kB in the mean", false},
-	"thin":    {targetEngines, true, true, "links to engines carry 2 kB a second and connection", false},
-	"lose":    {targetRooms, true, false, "all engines of rooms die and come back cold, and the list says so", false},
-	"cut":     {targetRooms, true, true, "links between rooms and the others are silent", false},
-	"deaf":    {targetRooms, true, true, "controllers of rooms hear nothing of the others' engines", false},
-	"mute":    {targetRooms, true, true, "the others' engines hear nothing of controllers of rooms", false},
+	"flap":    {targetEngines, true, false, "engines take four times as long in every other second", false},
+	"replace": {targetEngines, true, false, "engines drain and are replaced by cold ones, at random times within the duration", false},
+	"silent":  {targetEngines, true, true, "links to engines carry nothing either way", false},
+	"delay":   {targetEngines, true, true, "links to engines take 100 to 200 ms each way", false},
+	"reset":   {targetEngines, true, true, "connections to engines are reset, on average after 2 kB", false},
+	"thin":    {targetEngines, true, true, "links to engines carry 2 kB per second and connection", false},
+	"lose":    {targetRooms, true, false, "all engines of rooms are killed and come back cold, and the list says so", false},
+	"cut":     {targetRooms, true, true, "links between these rooms and the others carry nothing either way", false},
+	"deaf":    {targetRooms, true, true, "controllers of rooms receive nothing from engines of other rooms", false},
+	"mute":    {targetRooms, true, true, "engines of other rooms receive nothing from controllers of rooms", false},
 }
 
-// FaultHelp names what may go wrong, for a command line.
-const FaultHelp = "what, the share, when, for how long, as in stop:0.3@5s/3s or kill:0.7@5s"
+// FaultHelp describes the text form of a fault that ParseFault reads.
+const FaultHelp = "NAME:SHARE@START/DURATION, such as stop:0.3@5s/3s or kill:0.7@5s"
 
-// FaultKinds are all that may go wrong with what they do, in order.
+// FaultKinds returns the name and description of each fault, sorted by name.
 func FaultKinds() (all [][2]string) {
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
 		all = append(all, [2]string{name, faults[name].description})
@@ -78,7 +78,7 @@
 
 var faultPattern = regexp.MustCompile(`^([a-z]+):([0-9.]+)@([0-9a-z.]+)(?:/([0-9a-z.]+))?$`)
 
-// ParseFault reads one as in kill:0.7@5s or stop:0.3@5s/3s.
+// ParseFault parses a fault such as kill:0.7@5s or stop:0.3@5s/3s. Faults with a duration require one, the others allow none.
 func ParseFault(text string) (f Fault, err error) {
 	m := faultPattern.FindStringSubmatch(strings.TrimSpace(text))
 	if m == nil {
@@ -86,28 +86,28 @@
 	}
 	spec, known := faults[m[1]]
 	if !known {
-		return f, fmt.Errorf("fault %q: %q is not known, wanted one of %s", text, m[1],
+		return f, fmt.Errorf("fault %q: name %q is not known, wanted one of %s", text, m[1],
 			strings.Join(slices.Sorted(maps.Keys(faults)), ", "))
 	}
 	f.Name = m[1]
 	if f.Share, err = strconv.ParseFloat(m[2], 64); err != nil || f.Share <= 0 || f.Share > 1 {
-		return f, fmt.Errorf("fault %q: the share is above 0 and at most 1", text)
+		return f, fmt.Errorf("fault %q: the share must be above 0 and at most 1", text)
 	}
 	if f.At, err = time.ParseDuration(m[3]); err != nil || f.At < 0 {
-		return f, fmt.Errorf("fault %q: %q is no time, as 5s or 300ms", text, m[3])
+		return f, fmt.Errorf("fault %q: %q is not a valid time, such as 5s or 300ms", text, m[3])
 	}
 	if spec.hasDuration != (m[4] != "") {
-		return f, fmt.Errorf("fault %q: %s, which %s", text, spec.description, map[bool]string{true: "wants a length, as /3s", false: "has no length"}[spec.hasDuration])
+		return f, fmt.Errorf("fault %q (%s) %s", text, spec.description, map[bool]string{true: "needs a duration, such as /3s", false: "takes no duration"}[spec.hasDuration])
 	}
 	if m[4] != "" {
 		if f.Duration, err = time.ParseDuration(m[4]); err != nil || f.Duration <= 0 {
-			return f, fmt.Errorf("fault %q: %q is no length", text, m[4])
+			return f, fmt.Errorf("fault %q: %q is not a valid duration, such as 3s", text, m[4])
 		}
 	}
 	return f, nil
 }
 
-// ReadScript reads a fault a line; what follows a # is a comment. An error names the line.
+// ReadScript reads a script with one fault per line. Text after a # is a comment. Errors name the line.
 func ReadScript(r io.Reader) (all []Fault, err error) {
 	lines := bufio.NewScanner(r)
 	for lineNumber := 1; lines.Scan(); lineNumber++ {
@@ -124,8 +124,9 @@
 	return all, lines.Err()
 }
 
-// DrawFaults makes a script of so many faults from a seed, within a length of load. Standstills, silence and cuts last some
-// seconds, and shares are of the sizes that operators have seen: an eighth to two thirds.
+// DrawFaults returns count faults drawn from a seed, sorted by start, for a load of the given length. Faults with a duration last
+// between a twentieth and three tenths of that, some seconds in a usual run. Shares are of the sizes that operators have seen: an eighth to
+// two thirds.
 func DrawFaults(seed int64, count int, length time.Duration) (all []Fault) {
 	rng := rand.New(rand.NewSource(seed))
 	names := slices.DeleteFunc(slices.Sorted(maps.Keys(faults)), func(name string) bool { return faults[name].excludedFromDraw })
@@ -141,6 +142,7 @@
 	return all
 }
 
+// String returns the text form that ParseFault reads.
 func (f Fault) String() string {
 	text := fmt.Sprintf("%s:%g@%v", f.Name, f.Share, f.At)
 	if f.Duration > 0 {
@@ -149,7 +151,7 @@
 	return text
 }
 
-// among draws who is struck: the share of so many, at least one, in no order.
+// pickTargets draws the targets out of count: the fault's share of them, at least one, in random order.
 func (f Fault) pickTargets(rng *rand.Rand, count int) []int {
 	return rng.Perm(count)[:min(max(int(f.Share*float64(count)+0.5), 1), count)]
 }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -72,8 +72,8 @@
 			t.Error(text, f, err)
 		}
 	}
-	for text, says := range map[string]string{"": "wanted", "burn:1@1s": "not known", "kill:2@1s": "share", "kill:0.5@1s/2s": "no length",
-		"stop:0.5@1s": "wants a length", "stop:0.5@1x/2s": "no time"} {
+	for text, says := range map[string]string{"": "wanted", "burn:1@1s": "not known", "kill:2@1s": "share", "kill:0.5@1s/2s": "takes no duration",
+		"stop:0.5@1s": "needs a duration", "stop:0.5@1x/2s": "not a valid time"} {
 		if _, err := ParseFault(text); err == nil || !strings.Contains(err.Error(), says) {
 			t.Error(text, err)
 		}
--- a/lab/fleet/kinds.go
+++ b/lab/fleet/kinds.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// kind is a sort of jobs, as clients ask and as the settings have it.
+// jobKind is a kind of job: what clients send, and the class that the settings define for it.
 type jobKind struct {
 	name                       string
-	share                      float64 // of all jobs
-	work                       time.Duration
-	sla, deadline              time.Duration
+	share                      float64       // of all jobs
+	work                       time.Duration // mean core time of a job
+	sla, deadline              time.Duration // the settings' aim and deadline
 	gain                       float64
-	lateGain                   float64
+	lateGain                   float64 // the settings' late_worth
 	repeatPolicy               string
 	hasDedupKey, neverRepeated bool
-	requiredRoom               string // none but engines there
+	requiredRoom               string // only engines in this room may run it; empty: any
 	statement                  string
 	settingsExtra              string
 }
 
-// window in which an engine knows a repeat of a keyed job; grace to an engine that drains.
+// dedupWindow is how long an engine recognizes a repeat of a job with a dedup key. For drainGrace after the drain of an engine was announced,
+// jobs may still reach it.
 const dedupWindow, drainGrace = 4 * time.Second, 2 * time.Second
 
-// plain kinds of jobs: quick ones, and a tenth that take ten times as long. The mean work of a job is 76 ms of one core.
+// plainKinds returns kinds that any engine may run repeatedly: short jobs, and a tenth that take ten times as long. The mean work of a job
+// is 76 ms of one core.
 func plainKinds() []jobKind {
 	return []jobKind{
 		{name: "lookup", share: 0.9, work: 40 * time.Millisecond, sla: 500 * time.Millisecond, deadline: 3 * time.Second, gain: 1,
@@ -34,7 +36,7 @@
 	}
 }
 
-// ruledKinds are those beside which the rules on repeats and placement can be broken: a fifth of the plain mix.
+// constrainedKinds returns the plain kinds with 80% of the jobs, and in the other 20% kinds that rules on repeats and placement apply to.
 func constrainedKinds() []jobKind {
 	kinds := plainKinds()
 	kinds[0].share, kinds[1].share = 0.72, 0.08
@@ -48,14 +50,16 @@
 			settingsExtra: fmt.Sprintf(`,"allowed_in":[%q]`, roomName(0))})
 }
 
+// roomName returns the name of the n-th room.
 func roomName(n int) string { return fmt.Sprintf("room-%d", n) }
 
-// The figures of the settings that the audit counts by.
+// Values of the settings that the audit needs too.
 var (
 	configuredBudget    = attemptBudget{window: 10 * time.Second, base: 2, perJob: 0.2}
 	configuredColdStart = coldStart{duration: 5 * time.Second, loadWindow: 2 * time.Second, startCapacity: 0.31, overloadFactor: 3}
 )
 
+// settingsJSON returns the settings of the controller with a rank in a room.
 func settingsJSON(o Options, kinds []jobKind, rank, room int) json.RawMessage {
 	classes, widths := "", ""
 	for n, k := range kinds {
--- a/lab/fleet/relay/mesh.go
+++ b/lab/fleet/relay/mesh.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// Link is what a way from one instance to another suffers from. The zero value passes all at once.
+// Link describes how the path from one instance to another is impaired. The zero value forwards everything at once.
 type Link struct {
 	Silent          bool
-	Loss, Duplicate float64 // parts of the datagrams
+	Loss, Duplicate float64 // shares of datagrams that are lost and duplicated
 	Delay, Jitter   time.Duration
 }
 
-// Mesh stands between instances that talk by UDP, and by TCP at the same addresses: each is reached at an address of the
-// mesh, which knows by the near end who sends. Its methods may be called from anywhere.
+// Mesh forwards UDP datagrams between instances, and TCP connections at the same addresses. Each instance is reached at an address of the
+// mesh, which identifies senders by their source address. Its methods are safe for concurrent use.
 type Mesh struct {
 	mu            sync.Mutex
 	rng           *rand.Rand
-	nameByAddr    map[netip.Addr]string // by near end
+	nameByAddr    map[netip.Addr]string // instance names by source address
 	linkBetween   func(from, to string) Link
 	ports         []*meshPort
 	closed        bool
@@ -31,7 +31,7 @@
 	byteCount     int64
 }
 
-// port is where one instance is reached.
+// meshPort is the address of the mesh at which one instance is reached.
 type meshPort struct {
 	name   string
 	target netip.AddrPort
@@ -39,12 +39,12 @@
 	tcp    net.Listener
 }
 
-// NewMesh passes all until it is told otherwise.
+// NewMesh returns a mesh that forwards everything until SetLinks is called. The seed determines loss, duplicates and jitter.
 func NewMesh(seed int64) *Mesh {
 	return &Mesh{rng: rand.New(rand.NewSource(seed)), nameByAddr: map[netip.Addr]string{}, linkBetween: func(_, _ string) Link { return Link{} }}
 }
 
-// Add gives the address at which an instance is reached from now on; address is one that is free, to where it listens.
+// Add makes the instance that listens at to reachable at address, which must be free, and returns that address.
 func (m *Mesh) Add(name, address, to string) (string, error) {
 	target, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -54,41 +54,42 @@
 	if err != nil {
 		return "", err
 	}
-	added := &meshPort{name: name, target: target}
-	if added.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAt)); err != nil {
+	port := &meshPort{name: name, target: target}
+	if port.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listenAt)); err != nil {
 		return "", fmt.Errorf("mesh: %w", err)
 	}
-	if added.tcp, err = net.Listen("tcp", address); err != nil {
-		added.udp.Close()
+	if port.tcp, err = net.Listen("tcp", address); err != nil {
+		port.udp.Close()
 		return "", fmt.Errorf("mesh: %w", err)
 	}
 	m.mu.Lock()
 	m.nameByAddr[target.Addr()] = name
-	m.ports = append(m.ports, added)
+	m.ports = append(m.ports, port)
 	m.mu.Unlock()
-	go m.forwardDatagrams(added)
-	go m.forwardStreams(added)
+	go m.forwardDatagrams(port)
+	go m.forwardStreams(port)
 	return address, nil
 }
 
-// Between says what each way suffers from, from now on. A stream passes where neither way is silent.
+// SetLinks sets the impairment of each path from now on. A TCP connection is forwarded if neither direction is silent when it is opened;
+// the other impairments do not apply to it.
 func (m *Mesh) SetLinks(linkBetween func(from, to string) Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.linkBetween = linkBetween
 }
 
-// Whole has all pass again.
+// Heal removes all impairments.
 func (m *Mesh) Heal() { m.SetLinks(func(_, _ string) Link { return Link{} }) }
 
-// Passed is the number of datagrams and of their bytes so far.
+// Forwarded returns the number of datagrams forwarded so far, and of their bytes. Duplicates count; lost datagrams do not.
 func (m *Mesh) Forwarded() (datagrams int, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.datagramCount, m.byteCount
 }
 
-// Close ends it.
+// Close stops the mesh.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,17 +100,18 @@
 	}
 }
 
-func (m *Mesh) forwardDatagrams(p *meshPort) {
+// forwardDatagrams forwards datagrams to one instance until the mesh is closed.
+func (m *Mesh) forwardDatagrams(port *meshPort) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := p.udp.ReadFromUDPAddrPort(buf)
+		n, from, err := port.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
 			continue
 		}
 		m.mu.Lock()
-		link := m.linkBetween(m.nameByAddr[from.Addr()], p.name)
+		link := m.linkBetween(m.nameByAddr[from.Addr()], port.name)
 		copies := 1
 		if m.rng.Float64() < link.Duplicate {
 			copies = 2
@@ -131,17 +133,18 @@
 		payload := append([]byte(nil), buf[:n]...)
 		for _, delay := range delays {
 			if delay == 0 {
-				_, _ = p.udp.WriteToUDPAddrPort(payload, p.target)
+				_, _ = port.udp.WriteToUDPAddrPort(payload, port.target)
 			} else {
-				time.AfterFunc(delay, func() { _, _ = p.udp.WriteToUDPAddrPort(payload, p.target) })
+				time.AfterFunc(delay, func() { _, _ = port.udp.WriteToUDPAddrPort(payload, port.target) })
 			}
 		}
 	}
 }
 
-func (m *Mesh) forwardStreams(p *meshPort) {
+// forwardStreams forwards TCP connections to one instance until the mesh is closed.
+func (m *Mesh) forwardStreams(port *meshPort) {
 	for {
-		conn, err := p.tcp.Accept()
+		conn, err := port.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
@@ -150,7 +153,7 @@
 		from, _ := netip.ParseAddrPort(conn.RemoteAddr().String())
 		m.mu.Lock()
 		name := m.nameByAddr[from.Addr()]
-		silent := m.linkBetween(name, p.name).Silent || m.linkBetween(p.name, name).Silent
+		silent := m.linkBetween(name, port.name).Silent || m.linkBetween(port.name, name).Silent
 		m.mu.Unlock()
 		if silent {
 			conn.Close()
@@ -158,7 +161,7 @@
 		}
 		go func() {
 			defer conn.Close()
-			server, err := net.DialTimeout("tcp", p.target.String(), time.Second)
+			server, err := net.DialTimeout("tcp", port.target.String(), time.Second)
 			if err != nil {
 				return
 			}
--- a/lab/fleet/relay/relay.go
+++ b/lab/fleet/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands on a link between two processes on loopback and does to it what networks do: silence one way or
-// both, delay, resets in the middle of a message, little bandwidth. It is for tests and the laboratory.
+// Package relay forwards traffic between two processes on loopback addresses and impairs it as networks do: silence in one direction
+// or both, delay, resets in the middle of a message, low bandwidth. It is for tests and the test rig.
 package relay
 
 import (
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// The two ways of a link.
+// The two directions of a link.
 const (
-	ToServer = 0 // from who connects to who listens
+	ToServer = 0 // from the side that connects to the side that listens
 	ToClient = 1
 )
 
-// Trouble is what a link suffers from. The zero value passes all at once.
+// Impairment describes how a link is impaired. The zero value forwards everything at once.
 type Impairment struct {
-	Silent           [2]bool       // nothing passes this way; what is sent waits and passes when it is over, as with TCP
-	Delay, Jitter    time.Duration // a way takes that, and up to the jitter more; bytes stay in order
-	MeanBytesToReset int           // connections are reset after so many bytes in the mean, anywhere in a message; 0: never
-	BytesPerSecond   int           // bandwidth of each connection and way, 0 for no limit
+	Silent           [2]bool       // by direction: nothing passes; data sent meanwhile is held and passes afterwards, as with TCP retransmission
+	Delay, Jitter    time.Duration // time that a direction takes, and the limit of the random time added to it; bytes stay in order
+	MeanBytesToReset int           // mean number of bytes after which a connection is reset, anywhere in a message; 0: never
+	BytesPerSecond   int           // bandwidth per connection and direction; 0: no limit
 }
 
-// Relay listens for one server. Its methods may be called from anywhere.
+// Relay listens in place of one server and forwards connections to it. Its methods are safe for concurrent use.
 type Relay struct {
 	server string
 
@@ -37,26 +37,28 @@
 	listener    *net.TCPListener
 	address     string
 	impairment  Impairment
-	changed     chan struct{} // closed at each change
+	changed     chan struct{} // closed when the impairment changes or the relay closes
 	conns       map[net.Conn]bool
-	fillers     []net.Conn // which take the places of a queue that nobody serves
+	fillers     []net.Conn // connections that keep the listen backlog full
 	refusing    bool
-	accepting   int        // accepts under way
-	acceptDone  *sync.Cond // one of them is over, or the trouble has changed
+	accepting   int        // Accept calls in progress
+	acceptDone  *sync.Cond // signaled when one of them returns or the impairment changes
 	closed      bool
-	connections int // connections so far
+	connections int // accepted so far, without fillers
 }
 
-// Start listens on an address for a server. What chance decides, which byte a connection is reset at, follows the seed.
-func Start(address, to string, seed int64) (*Relay, error) {
-	r := &Relay{server: to, address: address, rng: rand.New(rand.NewSource(seed)), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+// Start starts a relay that listens on an address in place of a server. The seed determines random choices, such as the byte at which a
+// connection is reset.
+func Start(address, server string, seed int64) (*Relay, error) {
+	r := &Relay{server: server, address: address, rng: rand.New(rand.NewSource(seed)), changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	r.acceptDone = sync.NewCond(&r.mu)
 	return r, r.listen()
 }
 
-// places are the connections that wait until they are accepted, as usual.
+// listenBacklog is the usual number of connections that may wait to be accepted.
 const listenBacklog = 1024
 
+// listen opens the listener and starts to accept.
 func (r *Relay) listen() error {
 	ln, err := net.Listen("tcp", r.address)
 	if err != nil {
@@ -69,22 +71,22 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address that the relay listens on.
 func (r *Relay) Address() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.address
 }
 
-// Total is the number of connections so far.
+// Connections returns the number of connections accepted so far.
 func (r *Relay) Connections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.connections
 }
 
-// Set has the link suffer from something else, at once and on open connections too. While a way is silent no new connection
-// comes up: its first packet is not answered, as from a machine that is cut off.
+// SetImpairment replaces the link's impairment, at once and for open connections too. While a direction is silent no new connection is
+// established: its SYN is not answered, as by a machine that is cut off.
 func (r *Relay) SetImpairment(impairment Impairment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,17 +104,18 @@
 	r.acceptDone.Broadcast()
 }
 
-// deaf tells that it listens, and that no connection is to come up.
+// dropsConnects reports whether the relay listens but must not establish connections.
 func (r *Relay) dropsConnects() bool { return r.impairment.blocksConnect() && !r.refusing && !r.closed }
 
+// blocksConnect reports whether a direction is silent, so that no connection can be established.
 func (t Impairment) blocksConnect() bool { return t.Silent[ToServer] || t.Silent[ToClient] }
 
-// fills is for a dial to a place that is free, on a machine that is busy with other things; where somebody waits to be
-// accepted there is none, and the dial fails.
+// fillerDialTimeout allows for a busy machine when a filler dials a backlog with a free place. If another connection already waits to be
+// accepted, no place is free and the dial times out.
 const fillerDialTimeout = 500 * time.Millisecond
 
-// deafen shortens the listener's queue to one place and fills that, so that the system drops what comes. It waits for an
-// accept that is under way, which would take the filler and leave the place free.
+// fillBacklog shortens the listen backlog to one place and fills it, so that the kernel drops further SYNs. Before that it waits for an
+// Accept call in progress, which would take the filler and leave the place free. The caller holds r.mu.
 func (r *Relay) fillBacklog() {
 	r.setBacklog(0)
 	_ = r.listener.SetDeadline(time.Now())
@@ -127,6 +130,7 @@
 	}
 }
 
+// reopenBacklog undoes fillBacklog.
 func (r *Relay) reopenBacklog() {
 	r.setBacklog(listenBacklog)
 	_ = r.listener.SetDeadline(time.Time{})
@@ -135,13 +139,14 @@
 	}
 }
 
-func (r *Relay) setBacklog(n int) {
+// setBacklog calls listen(2) again, which changes the backlog of a socket that already listens.
+func (r *Relay) setBacklog(length int) {
 	if raw, err := r.listener.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), length) })
 	}
 }
 
-// Refuse ends all connections and has new ones refused, as where no process listens; or listens again.
+// SetRefusing with true resets all connections and has new ones refused, as if no process listened; with false the relay listens again.
 func (r *Relay) SetRefusing(refuse bool) error {
 	r.mu.Lock()
 	if r.refusing == refuse || r.closed {
@@ -164,6 +169,7 @@
 	return err
 }
 
+// resetConnections resets all open connections. The caller holds r.mu.
 func (r *Relay) resetConnections() {
 	for conn := range r.conns {
 		abort(conn)
@@ -171,7 +177,7 @@
 	clear(r.conns)
 }
 
-// Close ends it with all connections.
+// Close stops the relay and resets all connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +194,7 @@
 	r.changed = make(chan struct{})
 }
 
-// accept takes connections while the link is heard on.
+// accept accepts connections on ln while the impairment allows new ones, until the relay closes or listens on another listener.
 func (r *Relay) accept(ln *net.TCPListener) {
 	for {
 		r.mu.Lock()
@@ -219,7 +225,7 @@
 	}
 }
 
-// filler tells whether a connection is one of those that fill the queue.
+// isFiller reports whether an accepted connection is a filler of the backlog.
 func (r *Relay) isFiller(conn net.Conn) bool {
 	for _, f := range r.fillers {
 		if f.LocalAddr().String() == conn.RemoteAddr().String() {
@@ -229,7 +235,7 @@
 	return false
 }
 
-// join connects one to the server and passes on until either ends.
+// forward connects to the server and copies data in both directions until both have ended.
 func (r *Relay) forward(conn net.Conn) {
 	r.mu.Lock()
 	if r.isFiller(conn) {
@@ -244,8 +250,8 @@
 		abort(conn)
 		return
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	r.mu.Lock()
 	bytesLeft := -1
 	if mean := r.impairment.MeanBytesToReset; mean > 0 {
@@ -264,7 +270,7 @@
 			if err := r.copyDirection(ctx, direction, ends[0], ends[1], budget); err != nil {
 				abort(conn)
 				abort(server)
-			} else { // one that says no more hears the rest for a moment
+			} else { // half-close: the side that has finished sending still receives the rest
 				_ = ends[1].(*net.TCPConn).CloseWrite()
 			}
 		}()
@@ -277,7 +283,7 @@
 	r.mu.Unlock()
 }
 
-// budget of bytes until a connection is reset, for both ways; below 0: none.
+// byteBudget is the number of bytes until a connection is reset, over both directions; below 0: no reset.
 type byteBudget struct {
 	mu        sync.Mutex
 	remaining int
@@ -285,7 +291,7 @@
 
 var errReset = errors.New("reset")
 
-// spend gives how many of so many bytes still pass.
+// consume takes n bytes from the budget and returns how many of them may still pass, with errReset if the connection is to be reset.
 func (b *byteBudget) consume(n int) (allowed int, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -299,17 +305,18 @@
 	return n, nil
 }
 
+// chunk is data, or the end of a direction, that is forwarded at due.
 type chunk struct {
 	due  time.Time
 	data []byte
 	err  error
 }
 
-// pass carries one way until it ends, nil with a proper end.
+// copyDirection copies data in one direction until it ends. It returns nil if the sender closed it properly.
 func (r *Relay) copyDirection(ctx context.Context, direction int, from, to net.Conn, limit *byteBudget) error {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	chunks := make(chan chunk, 64) // so many at most are on the way
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	chunks := make(chan chunk, 64) // bounds the data in transit
 	go func() {
 		defer close(chunks)
 		last := time.Time{}
@@ -336,30 +343,30 @@
 			}
 		}
 	}()
-	for c := range chunks {
-		if err := r.waitToPass(ctx, direction, c.due); err != nil {
+	for passing := range chunks {
+		if err := r.waitToPass(ctx, direction, passing.due); err != nil {
 			return err
 		}
 		r.mu.Lock()
 		rate := r.impairment.BytesPerSecond
 		r.mu.Unlock()
 		if rate > 0 {
-			time.Sleep(time.Second * time.Duration(len(c.data)) / time.Duration(rate))
+			time.Sleep(time.Second * time.Duration(len(passing.data)) / time.Duration(rate))
 		}
-		n, err := limit.consume(len(c.data))
-		if _, writeErr := to.Write(c.data[:n]); writeErr != nil || err != nil {
+		n, err := limit.consume(len(passing.data))
+		if _, writeErr := to.Write(passing.data[:n]); writeErr != nil || err != nil {
 			return errors.Join(writeErr, err)
 		}
-		if errors.Is(c.err, syscall.ECONNRESET) || c.err != nil && ctx.Err() != nil {
-			return c.err
-		} else if c.err != nil {
+		if errors.Is(passing.err, syscall.ECONNRESET) || passing.err != nil && ctx.Err() != nil {
+			return passing.err
+		} else if passing.err != nil {
 			return nil
 		}
 	}
 	return ctx.Err()
 }
 
-// hold waits until a chunk may pass.
+// waitToPass waits until the direction is not silent and due has come.
 func (r *Relay) waitToPass(ctx context.Context, direction int, due time.Time) error {
 	for {
 		r.mu.Lock()
@@ -385,7 +392,7 @@
 	}
 }
 
-// abort resets a connection.
+// abort closes a connection with a reset (RST).
 func abort(conn net.Conn) {
 	if tcp, is := conn.(*net.TCPConn); is {
 		_ = tcp.SetLinger(0)
--- a/lab/fleet/seen.go
+++ b/lab/fleet/seen.go
@@ -34,29 +34,29 @@
 }
 
 // observe records an event. The engine calls it under its lock.
-func (r *engineRecorder) observe(e engine.Event) {
+func (r *engineRecorder) observe(event engine.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := e.At.Sub(r.startedAt)
-	n, isOpen := r.openAttempts[e.Run]
+	at := event.At.Sub(r.startedAt)
+	index, isOpen := r.openAttempts[event.Run]
 	switch {
-	case e.What == engine.Dialled:
+	case event.What == engine.Dialled:
 		r.dials = append(r.dials, at)
-	case e.What == engine.Probed:
+	case event.What == engine.Probed:
 		r.probes = append(r.probes, at)
-	case e.What == engine.Came:
-		r.openAttempts[e.Run] = len(r.attempts)
-		r.attempts = append(r.attempts, observedAttempt{Attempt: spread.Attempt{ArrivedAt: at, Work: e.Work}, id: e.ID, toldWait: e.Wait})
+	case event.What == engine.Came:
+		r.openAttempts[event.Run] = len(r.attempts)
+		r.attempts = append(r.attempts, observedAttempt{Attempt: spread.Attempt{ArrivedAt: at, Work: event.Work}, id: event.ID, toldWait: event.Wait})
 	case !isOpen:
-	case e.What == engine.Began:
-		r.attempts[n].StartedAt = at
+	case event.What == engine.Began:
+		r.attempts[index].StartedAt = at
 	default:
-		v := &r.attempts[n]
-		if v.closedAt == 0 {
-			v.closedAt = at
+		attempt := &r.attempts[index]
+		if attempt.closedAt == 0 {
+			attempt.closedAt = at
 		}
-		if v.StartedAt > 0 {
-			v.EndedAt = at
+		if attempt.StartedAt > 0 {
+			attempt.EndedAt = at
 		}
 	}
 }
@@ -100,22 +100,22 @@
 		rate, abandonsEarly := max(g.overrideRate, g.jobsPerSecond), g.abandonsEarly
 		g.mu.Unlock()
 		next = next.Add(time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second)))
-		j := load.Job{ID: fmt.Sprintf("%08x%08x", g.controller, g.rng.Uint32())}
-		k := &g.fleet.kinds[0]
+		job := load.Job{ID: fmt.Sprintf("%08x%08x", g.controller, g.rng.Uint32())}
+		kind := &g.fleet.kinds[0]
 		draw := g.rng.Float64()
 		for n := range g.fleet.kinds {
-			if draw >= k.share && n > 0 {
-				draw -= k.share
-				k = &g.fleet.kinds[n]
+			if draw >= kind.share && n > 0 {
+				draw -= kind.share
+				kind = &g.fleet.kinds[n]
 			}
 		}
-		work := time.Duration((0.5 + g.rng.Float64()) * float64(k.work))
-		j.Type, j.Wait, j.CostMS = k.name, k.deadline, float64(work)/float64(time.Millisecond)
-		sent := &sentJob{controller: g.controller, kind: k}
-		if k.hasDedupKey {
-			j.Once = fmt.Sprintf("%016x%016x", g.rng.Uint64(), g.rng.Uint64())
+		work := time.Duration((0.5 + g.rng.Float64()) * float64(kind.work))
+		job.Type, job.Wait, job.CostMS = kind.name, kind.deadline, float64(work)/float64(time.Millisecond)
+		sent := &sentJob{controller: g.controller, kind: kind}
+		if kind.hasDedupKey {
+			job.Once = fmt.Sprintf("%016x%016x", g.rng.Uint64(), g.rng.Uint64())
 		}
-		j.Statement = engine.Work(k.statement, work)
+		job.Statement = engine.Work(kind.statement, work)
 		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-ctx.Done():
@@ -123,9 +123,9 @@
 			return
 		case <-timer.C:
 		}
-		g.send(j, sent, 0)
+		g.send(job, sent, 0)
 		if abandonsEarly {
-			time.AfterFunc(j.Wait/10, func() { g.abandon(j.ID) })
+			time.AfterFunc(job.Wait/10, func() { g.abandon(job.ID) })
 		}
 	}
 }
@@ -133,14 +133,14 @@
 // abandon cancels a job that is still unanswered: it tells the controller that its client has given up.
 func (g *clientGroup) abandon(id string) {
 	g.mu.Lock()
-	job, c := g.outcomes[id], g.client
-	open := job != nil && job.AnsweredAt == 0 && c != nil
+	job, client := g.outcomes[id], g.client
+	open := job != nil && job.AnsweredAt == 0 && client != nil
 	if open {
 		delete(g.outcomes, id)
 		g.sentJobs[id].abandonedAt = time.Since(g.fleet.startedAt)
 	}
 	g.mu.Unlock()
-	if open && c.Leave(id) {
+	if open && client.Leave(id) {
 		g.pending.Done()
 	}
 }
@@ -164,41 +164,41 @@
 }
 
 // send sends a job on the current connection, or on a new one if that is closed or accepts no more jobs.
-func (g *clientGroup) send(j load.Job, sent *sentJob, retries int) {
-	job := &spread.Job{Controller: g.controller}
+func (g *clientGroup) send(job load.Job, sent *sentJob, retries int) {
+	outcome := &spread.Job{Controller: g.controller}
 	g.pending.Add(1)
 	for try := 0; ; try++ {
 		g.mu.Lock()
-		c, outOfRotation := g.client, g.outOfRotation
+		client, outOfRotation := g.client, g.outOfRotation
 		g.mu.Unlock()
-		if outOfRotation && (c == nil || !g.fleet.KeepConnections) {
-			g.forgetUnsent(j.ID)
+		if outOfRotation && (client == nil || !g.fleet.KeepConnections) {
+			g.forgetUnsent(job.ID)
 			return
 		}
-		if c == nil {
-			c = g.dial()
+		if client == nil {
+			client = g.dial()
 		}
-		if c == nil && try < maxDials {
+		if client == nil && try < maxDials {
 			time.Sleep(10 * time.Millisecond)
 			continue
-		} else if c == nil { // the controller does not listen
-			g.forgetUnsent(j.ID)
+		} else if client == nil { // the controller does not listen
+			g.forgetUnsent(job.ID)
 			return
 		}
 		g.mu.Lock()
-		job.SentAt = time.Since(g.fleet.startedAt) // the deadline counts from here
-		sent.sentAt = job.SentAt
-		if _, alreadySent := g.outcomes[j.ID]; !alreadySent {
-			g.outcomes[j.ID], g.sentJobs[j.ID] = job, sent
+		outcome.SentAt = time.Since(g.fleet.startedAt) // the deadline counts from here
+		sent.sentAt = outcome.SentAt
+		if _, alreadySent := g.outcomes[job.ID]; !alreadySent {
+			g.outcomes[job.ID], g.sentJobs[job.ID] = outcome, sent
 			sent.incarnation = g.incarnation
-			g.sentOrder = append(g.sentOrder, j.ID)
+			g.sentOrder = append(g.sentOrder, job.ID)
 		}
 		g.mu.Unlock()
-		if c.Ask(j, func(answer load.Answer, err error) { g.handleAnswer(j, job, sent, retries, answer, err) }) == nil {
+		if client.Ask(job, func(answer load.Answer, err error) { g.handleAnswer(job, outcome, sent, retries, answer, err) }) == nil {
 			return
 		}
 		g.mu.Lock()
-		if g.client == c {
+		if g.client == client {
 			g.client = nil
 		}
 		g.mu.Unlock()
@@ -218,46 +218,46 @@
 
 // dial opens a new current connection. It returns nil if the controller does not listen.
 func (g *clientGroup) dial() *load.Client {
-	c, err := load.Dial(g.process.Listen)
+	client, err := load.Dial(g.process.Listen)
 	if err != nil {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fleet.KeepConnections {
-		c.Stay()
+		client.Stay()
 	}
 	if g.client != nil {
 		g.strayAnswers += g.client.Strays()
 	}
-	g.client = c
-	return c
+	g.client = client
+	return client
 }
 
 // handleAnswer records the answer to a job, or that its connection ended without one. A job that crossed with the end of its connection
 // does not count as lost.
-func (g *clientGroup) handleAnswer(j load.Job, job *spread.Job, sent *sentJob, retries int, answer load.Answer, err error) {
+func (g *clientGroup) handleAnswer(job load.Job, outcome *spread.Job, sent *sentJob, retries int, answer load.Answer, err error) {
 	defer g.pending.Done()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
 		now := time.Since(g.fleet.startedAt)
 		crossed := errors.Is(err, load.ErrCrossed) || g.fleet.KeepConnections && now-sent.sentAt < crossingWindow+g.fleet.stalls.stalledBetween(sent.sentAt, now)
-		if delete(g.outcomes, j.ID); !g.lossExcused && sent.incarnation == g.incarnation && !crossed {
+		if delete(g.outcomes, job.ID); !g.lossExcused && sent.incarnation == g.incarnation && !crossed {
 			g.lost++
-			g.fleet.logf("lost: %s of controller %d, %s, sent at %v, connection ended after %v, the rig was stalled for %v of that: %v", j.ID, g.controller,
+			g.fleet.logf("lost: %s of controller %d, %s, sent at %v, connection ended after %v, the rig was stalled for %v of that: %v", job.ID, g.controller,
 				sent.kind.name, sent.sentAt, now-sent.sentAt, g.fleet.stalls.stalledBetween(sent.sentAt, now), err)
 		}
 		return
 	}
-	job.AnsweredAt = time.Since(g.fleet.startedAt)
-	job.Done, job.Rejected = answer.Code == frame.Done, answer.Code == frame.Rejected
-	job.InTime = job.Done && answer.Took <= sent.kind.sla
-	if job.Rejected && g.retriesRejected && retries < maxClientRetries {
-		j.ID = fmt.Sprintf("%s%02x%s", j.ID[:8], 0xf0+retries, j.ID[10:])
+	outcome.AnsweredAt = time.Since(g.fleet.startedAt)
+	outcome.Done, outcome.Rejected = answer.Code == frame.Done, answer.Code == frame.Rejected
+	outcome.InTime = outcome.Done && answer.Took <= sent.kind.sla
+	if outcome.Rejected && g.retriesRejected && retries < maxClientRetries {
+		job.ID = fmt.Sprintf("%s%02x%s", job.ID[:8], 0xf0+retries, job.ID[10:])
 		next := *sent
 		g.pending.Add(1)
-		go func() { defer g.pending.Done(); g.send(j, &next, retries+1) }()
+		go func() { defer g.pending.Done(); g.send(job, &next, retries+1) }()
 	}
 }
 
@@ -269,10 +269,10 @@
 const crossingWindow = 50 * time.Millisecond
 
 // addStandstill notes that the controller is stopped for some time, in which it cannot answer.
-func (g *clientGroup) addStandstill(length time.Duration) {
+func (g *clientGroup) addStandstill(duration time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.standstillTime += length
+	g.standstillTime += duration
 }
 
 // excuseLosses with true stops counting losses of jobs that are open or are sent from now on; with false, jobs sent from then on count again.
@@ -299,11 +299,11 @@
 func (g *clientGroup) countOverdue() (overdue int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id, j := range g.outcomes {
-		lateBy := j.AnsweredAt - j.SentAt - g.sentJobs[id].kind.deadline
-		if j.AnsweredAt > 0 && lateBy > answerGrace+g.standstillTime {
+	for id, outcome := range g.outcomes {
+		lateBy := outcome.AnsweredAt - outcome.SentAt - g.sentJobs[id].kind.deadline
+		if outcome.AnsweredAt > 0 && lateBy > answerGrace+g.standstillTime {
 			overdue++
-			g.fleet.logf("overdue: %s of controller %d, sent at %v, late by %v", id, g.controller, j.SentAt, lateBy)
+			g.fleet.logf("overdue: %s of controller %d, sent at %v, late by %v", id, g.controller, outcome.SentAt, lateBy)
 		}
 	}
 	return overdue
@@ -336,11 +336,11 @@
 		sentJobs[id] = sent
 	}
 	for _, id := range g.sentOrder {
-		if j := g.outcomes[id]; j != nil {
-			job := *j
-			job.ArrivedAt, job.ReachedEngine = arrivedAt[id]
-			jobs = append(jobs, job)
-			if job.AnsweredAt == 0 {
+		if outcome := g.outcomes[id]; outcome != nil {
+			copied := *outcome
+			copied.ArrivedAt, copied.ReachedEngine = arrivedAt[id]
+			jobs = append(jobs, copied)
+			if copied.AnsweredAt == 0 {
 				lost++
 			}
 		}
--- a/lab/fleet/spread/spread.go
+++ b/lab/fleet/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread tells how evenly the engines of a fleet were used, from what engines and clients saw and never from a
-// controller's word. Times count from the start of a run.
+// Package spread measures how evenly the engines of a fleet were used. It relies on what engines and clients observed and never on
+// reports of controllers. Times count from the start of a run.
 package spread
 
 import (
@@ -14,137 +14,140 @@
 type Job struct {
 	Controller    int
 	SentAt        time.Duration
-	AnsweredAt    time.Duration // 0: never
+	AnsweredAt    time.Duration // 0: it was not answered
 	Done          bool
 	Rejected      bool
-	InTime        bool // done within the latency target
-	ArrivedAt     time.Duration
-	ReachedEngine bool // an engine read it, first at Came
+	InTime        bool          // done within the latency target
+	ArrivedAt     time.Duration // when an engine first read it
+	ReachedEngine bool          // an engine read it; otherwise ArrivedAt is 0
 }
 
-// Visit is one attempt as its engine saw it.
+// Attempt is one attempt at a job as its engine saw it.
 type Attempt struct {
 	Engine    int
 	ArrivedAt time.Duration
-	Work      time.Duration
-	StartedAt time.Duration // runs from then
-	EndedAt   time.Duration // until then; 0 for one that never began
+	Work      time.Duration // core time that the job needs
+	StartedAt time.Duration // when it began to run
+	EndedAt   time.Duration // when it stopped running; 0: it never ran
 }
 
-// Run is what is to be told about.
+// Observations is the input of Compute and NewTimeline: what was observed during a run.
 type Observations struct {
-	From, To       time.Duration // what lies outside is left out
+	From, To       time.Duration // the measured span; events outside of it are ignored
 	Engines        int
-	CoresPerEngine int   // of each, or
-	CoresByEngine  []int // of each by number
+	CoresPerEngine int   // of every engine that CoresByEngine does not list
+	CoresByEngine  []int // by engine number
 	Controllers    int
 	Jobs           []Job
 	Attempts       []Attempt
-	Dials          []time.Duration // of all controllers at all engines
+	Dials          []time.Duration // connections opened by all controllers to all engines
 	Probes         []time.Duration
 	DiscoveryCalls []time.Duration
 }
 
-// Window is how evenly work came to engines in windows of one length: means over the windows in which any came.
+// Window describes how evenly work arrived at engines in windows of one length: means over the windows in which any work arrived.
 type Window struct {
 	Length   time.Duration `json:"length_ns"`
-	Busiest  float64       `json:"busiest"`   // work of the busiest engine over the mean
-	Idlest   float64       `json:"idlest"`    // of the idlest
-	Variance float64       `json:"variation"` // coefficient of variation over engines
+	Busiest  float64       `json:"busiest"`   // work of the busiest engine, relative to the mean
+	Idlest   float64       `json:"idlest"`    // work of the least busy engine, relative to the mean
+	Variance float64       `json:"variation"` // coefficient of variation of the work across engines
 }
 
-// Peak is a rate over the fleet: the most in a window of a second over the mean.
+// Peak describes a rate across the fleet: the number of events, and the maximum per second relative to the mean.
 type Peak struct {
 	Total int     `json:"total"`
 	Most  float64 `json:"most_over_mean"`
 }
 
-// Figures of a run.
+// Figures are the measurements of a run.
 type Figures struct {
 	Windows        []Window `json:"windows"`
-	Herd           float64  `json:"herd"`      // variance over mean of arrivals at an engine in 50 ms, mean of engines; 1 is chance
-	HerdMost       float64  `json:"herd_most"` // of the worst engine
-	Surge          float64  `json:"surge"`     // most arrivals at an engine in 50 ms over its mean
-	Idle           float64  `json:"idle"`      // engine time with a free core while a job was held, as a share
-	Busy           float64  `json:"busy"`      // core time used, as a share
-	Stranded       float64  `json:"stranded"`  // jobs rejected while an engine had a free core, as a share of jobs
-	Rejected       float64  `json:"rejected"`  // as a share of jobs
-	InTime         float64  `json:"in_time"`   // mean of controllers
-	Worst          float64  `json:"worst"`     // in time at the worst controller
-	Lost           int      `json:"lost"`      // jobs without an answer
-	Jobs           int      `json:"jobs"`      // in the span
-	Attempt        float64  `json:"attempts"`  // a job
+	Herd           float64  `json:"herd"`      // variance over mean of the arrivals at an engine per 50 ms, mean of all engines; 1 for random arrivals
+	HerdMost       float64  `json:"herd_most"` // the same for the worst engine
+	Surge          float64  `json:"surge"`     // maximum of the arrivals at an engine in 50 ms, relative to its mean
+	Idle           float64  `json:"idle"`      // share of engine time with a free core while a controller held a job
+	Busy           float64  `json:"busy"`      // share of core time used
+	Stranded       float64  `json:"stranded"`  // share of jobs rejected while an engine had a free core
+	Rejected       float64  `json:"rejected"`  // share of jobs rejected
+	InTime         float64  `json:"in_time"`   // share of jobs done in time, mean of controllers
+	Worst          float64  `json:"worst"`     // share of jobs done in time at the worst controller
+	Lost           int      `json:"lost"`      // jobs that were not answered
+	Jobs           int      `json:"jobs"`      // jobs sent in the measured span
+	Attempt        float64  `json:"attempts"`  // attempts per job
 	Dials          Peak     `json:"dials"`
 	Probes         Peak     `json:"probes"`
 	DiscoveryCalls Peak     `json:"discovery_calls"`
 }
 
-// herdWindow is short against a job and long against the ways of messages.
+// herdWindow is shorter than a typical job and longer than messages take.
 const herdWindow = 50 * time.Millisecond
 
-// onTheWay is how long a job that reached no engine counts as on its way and not as held: the way from the client through a
-// controller, on a machine that runs hundreds of them.
+// transitTime is how long after it was sent a job that has not reached an engine counts as in transit and not as held. It covers the path
+// from the client through a controller on a machine that runs hundreds of controllers.
 const transitTime = 25 * time.Millisecond
 
-// leastJobs of a controller tell about its share in time.
+// minJobsPerController is the number of jobs from which a controller's share of jobs in time is meaningful.
 const minJobsPerController = 10
 
-// Tell works the figures out.
-func Compute(r Observations) Figures {
+// Compute returns the figures of a run. Windows longer than the measured span are left out.
+func Compute(o Observations) Figures {
 	var f Figures
 	for _, length := range []time.Duration{herdWindow, time.Second, 10 * time.Second} {
-		if length <= r.To-r.From {
-			f.Windows = append(f.Windows, r.workBalance(length))
+		if length <= o.To-o.From {
+			f.Windows = append(f.Windows, o.workBalance(length))
 		}
 	}
-	f.Herd, f.HerdMost, f.Surge = r.arrivalDispersion()
-	f.Dials, f.Probes, f.DiscoveryCalls = r.peakRate(r.Dials), r.peakRate(r.Probes), r.peakRate(r.DiscoveryCalls)
-	r.countJobs(&f)
-	r.measureIdle(&f)
+	f.Herd, f.HerdMost, f.Surge = o.arrivalDispersion()
+	f.Dials, f.Probes, f.DiscoveryCalls = o.peakRate(o.Dials), o.peakRate(o.Probes), o.peakRate(o.DiscoveryCalls)
+	o.countJobs(&f)
+	o.measureIdle(&f)
 	return f
 }
 
-// cores of an engine.
-func (r Observations) coresOf(engine int) int {
-	if engine < len(r.CoresByEngine) {
-		return r.CoresByEngine[engine]
+// coresOf returns the number of cores of an engine.
+func (o Observations) coresOf(engine int) int {
+	if engine < len(o.CoresByEngine) {
+		return o.CoresByEngine[engine]
 	}
-	return max(r.CoresPerEngine, 1)
+	return max(o.CoresPerEngine, 1)
 }
 
-// allCores over all engines.
-func (r Observations) totalCores() (total int) {
-	for e := range r.Engines {
-		total += r.coresOf(e)
+// totalCores returns the number of cores of all engines.
+func (o Observations) totalCores() (total int) {
+	for e := range o.Engines {
+		total += o.coresOf(e)
 	}
 	return total
 }
 
-func (r Observations) inMeasuredSpan(at time.Duration) bool { return at >= r.From && at < r.To }
+func (o Observations) inMeasuredSpan(at time.Duration) bool { return at >= o.From && at < o.To }
 
-// bins counts what engines got in windows: weight by engine and window.
-func (r Observations) binArrivals(length time.Duration, weight func(Attempt) float64) [][]float64 {
-	n := int((r.To - r.From) / length)
-	bins := make([][]float64, r.Engines)
+// binArrivals sums a weight of the attempts that arrived, by engine and window.
+func (o Observations) binArrivals(length time.Duration, weight func(Attempt) float64) [][]float64 {
+	count := int((o.To - o.From) / length)
+	bins := make([][]float64, o.Engines)
 	for e := range bins {
-		bins[e] = make([]float64, n)
+		bins[e] = make([]float64, count)
 	}
-	for _, v := range r.Attempts {
-		if at := int((v.ArrivedAt - r.From) / length); r.inMeasuredSpan(v.ArrivedAt) && at < n {
-			bins[v.Engine][at] += weight(v)
+	for _, attempt := range o.Attempts {
+		if at := int((attempt.ArrivedAt - o.From) / length); o.inMeasuredSpan(attempt.ArrivedAt) && at < count {
+			bins[attempt.Engine][at] += weight(attempt)
 		}
 	}
 	return bins
 }
 
-func (r Observations) workBalance(length time.Duration) Window {
-	// By capacity, so that an engine of twice the cores should get twice the work.
-	mean := float64(r.totalCores()) / float64(r.Engines)
-	bins := r.binArrivals(length, func(v Attempt) float64 { return v.Work.Seconds() * mean / float64(r.coresOf(v.Engine)) })
+// workBalance returns how evenly work arrived at engines in windows of a length.
+func (o Observations) workBalance(length time.Duration) Window {
+	// Work is normalized by capacity: an engine with twice the cores should get twice the work.
+	mean := float64(o.totalCores()) / float64(o.Engines)
+	bins := o.binArrivals(length, func(attempt Attempt) float64 {
+		return attempt.Work.Seconds() * mean / float64(o.coresOf(attempt.Engine))
+	})
 	w := Window{Length: length}
 	windows := 0.0
 	for at := range bins[0] {
-		work := make([]float64, r.Engines)
+		work := make([]float64, o.Engines)
 		for e := range bins {
 			work[e] = bins[e][at]
 		}
@@ -163,13 +166,15 @@
 	return w
 }
 
-func (r Observations) arrivalDispersion() (mean, maxRatio, surge float64) {
-	bins := r.binArrivals(herdWindow, func(Attempt) float64 { return 1 })
+// arrivalDispersion returns the variance-to-mean ratio of arrivals per herdWindow, as the mean of all engines and of the worst one, and the
+// highest number of arrivals in a window relative to the engine's mean.
+func (o Observations) arrivalDispersion() (mean, maxRatio, surge float64) {
+	bins := o.binArrivals(herdWindow, func(Attempt) float64 { return 1 })
 	var ratios []float64
 	for _, counts := range bins {
-		if m, v := stat.PopMeanVariance(counts, nil); m > 0 {
-			ratios = append(ratios, v/m)
-			surge = math.Max(surge, slices.Max(counts)/m)
+		if binMean, variance := stat.PopMeanVariance(counts, nil); binMean > 0 {
+			ratios = append(ratios, variance/binMean)
+			surge = math.Max(surge, slices.Max(counts)/binMean)
 		}
 	}
 	if len(ratios) == 0 {
@@ -178,12 +183,13 @@
 	return stat.Mean(ratios, nil), slices.Max(ratios), surge
 }
 
-func (r Observations) peakRate(at []time.Duration) Peak {
-	counts := make([]float64, max(int((r.To-r.From)/time.Second), 1))
+// peakRate returns the number of events in the measured span and their highest rate per second relative to the mean.
+func (o Observations) peakRate(times []time.Duration) Peak {
+	counts := make([]float64, max(int((o.To-o.From)/time.Second), 1))
 	total := 0
-	for _, t := range at {
-		if n := int((t - r.From) / time.Second); r.inMeasuredSpan(t) && n < len(counts) {
-			counts[n]++
+	for _, t := range times {
+		if second := int((t - o.From) / time.Second); o.inMeasuredSpan(t) && second < len(counts) {
+			counts[second]++
 			total++
 		}
 	}
@@ -193,10 +199,11 @@
 	return Peak{total, slices.Max(counts) / stat.Mean(counts, nil)}
 }
 
-func (r Observations) countJobs(f *Figures) {
-	sent, inTime := make([]float64, r.Controllers), make([]float64, r.Controllers)
-	for _, j := range r.Jobs {
-		if !r.inMeasuredSpan(j.SentAt) {
+// countJobs sets the figures about jobs and attempts.
+func (o Observations) countJobs(f *Figures) {
+	sent, inTime := make([]float64, o.Controllers), make([]float64, o.Controllers)
+	for _, j := range o.Jobs {
+		if !o.inMeasuredSpan(j.SentAt) {
 			continue
 		}
 		f.Jobs++
@@ -211,10 +218,10 @@
 			f.Lost++
 		}
 	}
-	visits := 0
-	for _, v := range r.Attempts {
-		if r.inMeasuredSpan(v.ArrivedAt) {
-			visits++
+	attempts := 0
+	for _, attempt := range o.Attempts {
+		if o.inMeasuredSpan(attempt.ArrivedAt) {
+			attempts++
 		}
 	}
 	var shares []float64
@@ -228,28 +235,28 @@
 	}
 	if f.Jobs > 0 {
 		f.Rejected /= float64(f.Jobs)
-		f.Attempt = float64(visits) / float64(f.Jobs)
+		f.Attempt = float64(attempts) / float64(f.Jobs)
 	}
 }
 
-// change is one step of what goes on: cores of an engine, or jobs held. A rejected job is looked at before the steps
-// of its instant.
+// step is one change of the number of jobs that run at an engine or that controllers hold, or a rejection.
 type step struct {
 	at       time.Duration
-	engine   int // -1: a job is held or no longer
+	engine   int // -1: the number of held jobs changes
 	delta    int
 	rejected bool
 }
 
-// idle walks through all changes in order of time.
-func (r Observations) measureIdle(f *Figures) {
+// measureIdle sets Idle, Busy and Stranded. It goes through all changes in order of time; of those at the same time it takes decreases
+// first, then rejections, then increases.
+func (o Observations) measureIdle(f *Figures) {
 	var steps []step
-	for _, v := range r.Attempts {
-		if v.EndedAt > v.StartedAt {
-			steps = append(steps, step{v.StartedAt, v.Engine, 1, false}, step{v.EndedAt, v.Engine, -1, false})
+	for _, attempt := range o.Attempts {
+		if attempt.EndedAt > attempt.StartedAt {
+			steps = append(steps, step{attempt.StartedAt, attempt.Engine, 1, false}, step{attempt.EndedAt, attempt.Engine, -1, false})
 		}
 	}
-	for _, j := range r.Jobs {
+	for _, j := range o.Jobs {
 		until := j.ArrivedAt
 		if !j.ReachedEngine {
 			until = j.AnsweredAt
@@ -257,7 +264,7 @@
 		if from := j.SentAt + transitTime; until > from {
 			steps = append(steps, step{from, -1, 1, false}, step{until, -1, -1, false})
 		}
-		if j.Rejected && r.inMeasuredSpan(j.SentAt) {
+		if j.Rejected && o.inMeasuredSpan(j.SentAt) {
 			steps = append(steps, step{j.AnsweredAt, -1, 0, true})
 		}
 	}
@@ -267,21 +274,21 @@
 		}
 		return a.delta - b.delta
 	})
-	running, heldJobs, last := make([]int, r.Engines), 0, r.From
-	freeEngines, usedCores := r.Engines, 0
-	var idle, busy float64
+	running, heldJobs, coveredUntil := make([]int, o.Engines), 0, o.From
+	freeEngines, usedCores := o.Engines, 0
+	var idleSeconds, busySeconds float64
 	stranded := 0
 	for _, s := range steps {
 		if s.rejected && freeEngines > 0 {
 			stranded++
 		}
-		if until := min(s.at, r.To); until > last {
-			span := (until - last).Seconds()
-			busy += span * float64(usedCores)
+		if until := min(s.at, o.To); until > coveredUntil {
+			span := (until - coveredUntil).Seconds()
+			busySeconds += span * float64(usedCores)
 			if heldJobs > 0 {
-				idle += span * float64(freeEngines)
+				idleSeconds += span * float64(freeEngines)
 			}
-			last = until
+			coveredUntil = until
 		}
 		if s.engine < 0 {
 			heldJobs += s.delta
@@ -289,7 +296,7 @@
 		}
 		before := running[s.engine]
 		running[s.engine] += s.delta
-		cores := r.coresOf(s.engine)
+		cores := o.coresOf(s.engine)
 		usedCores += min(running[s.engine], cores) - min(before, cores)
 		wasFree := before < cores
 		if isFree := running[s.engine] < cores; wasFree && !isFree {
@@ -298,9 +305,9 @@
 			freeEngines++
 		}
 	}
-	if span := (r.To - r.From).Seconds(); span > 0 && r.Engines > 0 {
-		f.Idle = idle / span / float64(r.Engines)
-		f.Busy = busy / span / float64(max(r.totalCores(), 1))
+	if span := (o.To - o.From).Seconds(); span > 0 && o.Engines > 0 {
+		f.Idle = idleSeconds / span / float64(o.Engines)
+		f.Busy = busySeconds / span / float64(max(o.totalCores(), 1))
 	}
 	if f.Jobs > 0 {
 		f.Stranded = float64(stranded) / float64(f.Jobs)
