--- a/lab/fleet/compare.go
+++ b/lab/fleet/compare.go
@@ -7,28 +7,28 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Figure is a number of a run that runs are compared by.
+// Figure is a quantity by which runs are compared.
 type Figure struct {
 	Name string
-	Form string
+	Form string // fmt verb for the value
 	Of   func(Result) float64
 }
 
-// Compared is a figure of two ways that were played in pairs on the same seeds.
+// Compared is the comparison of a figure between two variants, A and B, that were run in pairs on the same seeds.
 type Compared struct {
 	Name       string    `json:"name"`
 	A, B       []float64 `json:"-"`
 	MeanA      float64   `json:"a"`
 	MeanB      float64   `json:"b"`
-	Difference float64   `json:"difference"` // of B from A
+	Difference float64   `json:"difference"` // MeanB - MeanA
 	Pairs      int       `json:"pairs"`
-	Least      float64   `json:"least"` // the interval in which the difference lies in 19 of 20 such comparisons
-	Most       float64   `json:"most"`
-	Tells      bool      `json:"tells"` // the interval is all on one side of 0
+	Least      float64   `json:"least"` // lower bound of the 95% confidence interval of the difference
+	Most       float64   `json:"most"`  // its upper bound
+	Tells      bool      `json:"tells"` // the difference is significant: the interval does not contain 0
 }
 
-// Compare pairs the runs of two ways: the difference of each pair, their mean, and its interval by Student's distribution,
-// which takes differences to be about normal. One pair has no interval.
+// Compare compares the runs of two variants pair by pair: it returns the mean of the differences and its confidence interval by Student's
+// t-distribution, which assumes that differences are roughly normally distributed. A single pair has no interval.
 func Compare(a, b []Result, figures []Figure) (all []Compared) {
 	for _, f := range figures {
 		c := Compared{Name: f.Name}
--- a/lab/fleet/days.go
+++ b/lab/fleet/days.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Day is a run with a name: what operators have seen go wrong, one thing or one after the other, in fifteen seconds of load.
+// Day is a named scenario: faults that operators have seen, one or several in sequence, for fifteen seconds of load.
 type Day struct {
 	Name   string
 	Rooms  int
 	Ruled  bool
 	Uneven bool
-	Script []string
+	Script []string // faults as ParseFault reads them
 }
 
-// Days are the usual ones.
+// Days are the standard scenarios.
 var Days = []Day{
 	{Name: "calm"},
 	{Name: "uneven", Uneven: true},
@@ -38,7 +38,7 @@
 	{Name: "worst", Rooms: 2, Script: []string{"away:1@2s/8s", "kill:0.7@4s", "hang:0.125@4s/6s", "lose:0.5@6s/3s"}},
 }
 
-// tenths of the fleet are restarted one after the other.
+// rollingRestart returns a script that restarts the fleet in ten groups, one after the other.
 func rollingRestart() (all []string) {
 	for n := range 10 {
 		all = append(all, fmt.Sprintf("term:0.1@%v", time.Second+time.Duration(n)*1200*time.Millisecond))
@@ -46,7 +46,7 @@
 	return all
 }
 
-// Options of a day, of a fleet otherwise as given.
+// Options returns o with the faults and the other settings of the scenario.
 func (d Day) Options(o Options) (Options, error) {
 	o.Rooms, o.Ruled, o.Uneven = max(d.Rooms, o.Rooms), o.Ruled || d.Ruled, o.Uneven || d.Uneven
 	o.Faults = nil
--- a/lab/fleet/delay.go
+++ b/lab/fleet/delay.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// rigDelay keeps when the rig's own process did not run, on a machine that is overloaded: what it does and sees then is late by
-// that, and says nothing about a controller. It is measured by an alarm that is due each delayTick. The zero value knows of none.
+// stallLog records when the rig's own process did not run because the machine is overloaded. What the rig does and observes is late by that
+// time, which says nothing about a controller. Stalls are measured by a timer that is due every stallProbeInterval. The zero value is empty.
 type stallLog struct {
 	mu     sync.Mutex
-	stalls []stall // in order, apart from each other
+	stalls []stall // in order of time, not overlapping
 }
 
-// delaySpan is a time in which an alarm that was due had not come.
+// stall is the time between when a timer was due and when it fired.
 type stall struct{ from, to time.Duration }
 
-// An alarm that comes later than delayLeast is one that a calm machine does not show: its timers are true to some milliseconds.
+// Timers that fire later than minStall count as stalls: on an idle machine timers are precise to some milliseconds.
 const (
 	stallProbeInterval = 2 * time.Millisecond
 	minStall           = 5 * time.Millisecond
 )
 
-// measure goes on until its context is over. Times count from began.
+// measure records stalls until ctx ends. Times count from start.
 func (d *stallLog) measure(ctx context.Context, start time.Time) {
 	for ctx.Err() == nil {
 		due := time.Since(start) + stallProbeInterval
@@ -41,7 +41,7 @@
 	d.stalls = append(d.stalls, s)
 }
 
-// between is for how long in all the rig did not run between two times.
+// stalledBetween returns how long the rig did not run between two times. It is 0 for a nil log.
 func (d *stallLog) stalledBetween(from, to time.Duration) (total time.Duration) {
 	if d == nil {
 		return 0
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -18,65 +18,66 @@
 	"yarrowbarrow/lab/standin/discovery"
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
-	Program         string // that serves without a word, and as a baseline with "baseline NAME"
-	Policy          string // a baseline's name, or "" for the program's own decisions
+	Program         string // path of the program: without arguments it serves, with "baseline NAME" it plays a baseline policy
+	Policy          string // name of a baseline policy, or "" for the program's own decisions
 	Controllers     int
-	Settled         int // controllers that the settings tell of, as when those that run are part of a larger fleet; 0: Controllers
+	Settled         int // number of controllers according to the settings, larger than Controllers if those that run play a part of a larger fleet; 0: Controllers
 	Engines         int
-	Cores           int  // of each engine
-	Uneven          bool // every third engine has twice the cores
-	Rooms           int  // that controllers and engines are in, by turns
-	Ruled           bool // jobs of all kinds that rules are about, not only those that may run again anywhere
-	PerSecond       float64
-	Length          time.Duration
+	Cores           int           // of each engine
+	Uneven          bool          // every third engine has twice the cores
+	Rooms           int           // number of rooms, over which controllers and engines are distributed round-robin
+	Ruled           bool          // also send jobs that rules on repeats and placement apply to
+	PerSecond       float64       // mean job rate of a controller
+	Length          time.Duration // of the load
 	Seed            int64
 	Faults          []Fault
-	KeepConnections bool // clients use open connections until a controller ends them or is killed
-	Draw            bool // a picture too
-	Say             func(format string, args ...any)
+	KeepConnections bool                             // clients use open connections until the controller closes them or is killed
+	Draw            bool                             // also record a timeline for plots
+	Say             func(format string, args ...any) // receives log messages; nil: none
 }
 
-// Result of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Policy  string         `json:"policy"`
 	Figures spread.Figures `json:"figures"`
 	Audit   Audit          `json:"audit"`
-	CPU     float64        `json:"cpu_share"` // of one core, mean of the controllers that lived through
-	Memory  float64        `json:"memory_mb"` // resident at the end, mean
-	PeakMB  float64        `json:"peak_mb"`   // the most memory that a process had resident
+	CPU     float64        `json:"cpu_share"` // of one core, mean of the controllers that no fault ended
+	Memory  float64        `json:"memory_mb"` // resident at the end, mean of the same controllers
+	PeakMB  float64        `json:"peak_mb"`   // highest resident memory of any process
 
-	Picture *spread.Timeline `json:"picture,omitempty"` // where one was asked for
+	Picture *spread.Timeline `json:"picture,omitempty"` // if Options.Draw is set
 }
 
-// fleet is a run under way.
+// fleet is a run in progress.
 type fleet struct {
 	stalls stallLog
 	Options
 	rng          *rand.Rand
 	startedAt    time.Time
 	kinds        []jobKind
-	useRelays    bool                   // relays stand between controllers and engines
-	hosts        []*host                // in the order in which they came
-	discoveries  []*discovery.Discovery // each controller's own
+	useRelays    bool                   // a fault on links is planned, so relays run between controllers and engines
+	hosts        []*host                // in the order in which they were added
+	discoveries  []*discovery.Discovery // one server per controller
 	processes    []*Process
 	clients      []*clientGroup
-	activeFaults sync.WaitGroup // faults under way
-	lateUpdates  sync.WaitGroup // what lists tell late
+	activeFaults sync.WaitGroup // goroutines that wait for a fault or inject it
+	lateUpdates  sync.WaitGroup // updates of lists that are delayed by the fault late
 
 	logMu     sync.Mutex
-	logClosed bool // all: what is noticed from now on belongs to no run
+	logClosed bool // the run is over; later messages are dropped
 
 	mu                sync.Mutex
 	crashes           int
-	longestImpairment time.Duration         // the longest time that links had one trouble
+	longestImpairment time.Duration         // longest time for which links were impaired
 	restarted         map[int]bool          // controllers that a fault ended
-	listDelay         map[int]time.Duration // by controller, of its list
-	silentUntil       map[int]time.Duration // until when its discovery is silent
+	listDelay         map[int]time.Duration // delay of list updates by controller
+	silentUntil       map[int]time.Duration // by controller, end of the time in which its discovery does not answer
 }
 
-// Run starts the fleet, loads it and ends it. All that it started has ended when it returns, also when the context ends.
+// Run starts a fleet, puts load and faults on it, and shuts it down. When it returns, everything that it started has ended, also if ctx
+// was cancelled.
 func Run(ctx context.Context, o Options) (Result, error) {
 	o.Controllers, o.Engines, o.Cores, o.Rooms = max(o.Controllers, 1), max(o.Engines, 1), max(o.Cores, 1), max(o.Rooms, 1)
 	o.Settled = max(o.Settled, o.Controllers)
@@ -116,6 +117,7 @@
 	return f.collectResult(from, to), ctx.Err()
 }
 
+// start starts the engines, the discovery servers and the controllers. It returns the first error once all starts have ended.
 func (f *fleet) start(ctx context.Context, folder string) (err error) {
 	for slot := range f.Engines {
 		if _, err := f.addEngine(slot, ""); err != nil {
@@ -147,7 +149,7 @@
 	}
 	f.Say("starting %d controllers between %d engines", f.Controllers, f.Engines)
 	errs := make(chan error, len(f.processes))
-	startSlots := make(chan bool, 2*runtime.NumCPU()) // so many start at once
+	startSlots := make(chan bool, 2*runtime.NumCPU()) // limits how many start at once
 	for _, p := range f.processes {
 		go func() {
 			startSlots <- true
@@ -167,7 +169,7 @@
 	return err
 }
 
-// say tells of what is noticed while the run lasts.
+// logf logs a message unless the run is over.
 func (f *fleet) logf(format string, args ...any) {
 	f.logMu.Lock()
 	defer f.logMu.Unlock()
@@ -176,23 +178,23 @@
 	}
 }
 
-// rank is the number of a controller among those that the settings tell of: those that run lie evenly among them.
-func (f *fleet) rank(n int) int { return n * f.Settled / f.Controllers }
+// rank returns the rank of a controller among those in the settings. Running controllers are spread evenly over the ranks.
+func (f *fleet) rank(controller int) int { return controller * f.Settled / f.Controllers }
 
-// play has the clients ask, and the faults happen.
-func (f *fleet) runLoad(ctx context.Context, from time.Duration) {
+// runLoad sends jobs for the length of the run and injects the faults.
+func (f *fleet) runLoad(ctx context.Context, loadStart time.Duration) {
 	loadCtx, cancel := context.WithTimeout(ctx, f.Length)
 	defer cancel()
-	// Some controllers get several times the mean: a lognormal distribution as of traffic between offices.
+	// Rates follow a lognormal distribution, as traffic between offices does: some controllers get several times the mean.
 	const rateSigma = 0.7
-	rates, sum := make([]float64, f.Controllers), 0.0
+	rates, rateSum := make([]float64, f.Controllers), 0.0
 	for n := range rates {
 		rates[n] = math.Exp(rateSigma * f.rng.NormFloat64())
-		sum += rates[n]
+		rateSum += rates[n]
 	}
 	for n, p := range f.processes {
 		g := &clientGroup{fleet: f, controller: n, process: p, rng: rand.New(rand.NewSource(f.Seed*7919 + int64(n))),
-			jobsPerSecond: rates[n] / sum * float64(f.Controllers) * f.PerSecond, outcomes: map[string]*spread.Job{}, sentJobs: map[string]*sentJob{}}
+			jobsPerSecond: rates[n] / rateSum * float64(f.Controllers) * f.PerSecond, outcomes: map[string]*spread.Job{}, sentJobs: map[string]*sentJob{}}
 		f.clients = append(f.clients, g)
 	}
 	for _, fault := range f.Faults {
@@ -203,7 +205,7 @@
 			defer f.activeFaults.Done()
 			select {
 			case <-loadCtx.Done():
-			case <-time.After(fault.At - (time.Since(f.startedAt) - from)):
+			case <-time.After(fault.At - (time.Since(f.startedAt) - loadStart)):
 				f.Say("%s", fault)
 				f.injectFault(loadCtx, fault, targets, rng)
 			}
@@ -220,7 +222,7 @@
 	generators.Wait()
 }
 
-// strike does what a fault does, to all it strikes at once, and ends it.
+// injectFault injects a fault into all its targets at the same time, and returns once it has ended.
 func (f *fleet) injectFault(ctx context.Context, fault Fault, targets []int, rng *rand.Rand) {
 	spec := faults[fault.Name]
 	if spec.onLinks {
@@ -231,7 +233,7 @@
 		f.moveHotTraffic(ctx, fault, rng)
 		return
 	}
-	if spec.target == targetRooms { // what is in them
+	if spec.target == targetRooms { // all engines in these rooms
 		affectedRooms := targets
 		targets = nil
 		for slot := range f.Engines {
@@ -241,55 +243,56 @@
 		}
 	}
 	var running sync.WaitGroup
-	for _, n := range targets {
+	for _, target := range targets {
 		running.Add(1)
 		targetRNG := rand.New(rand.NewSource(rng.Int63()))
 		go func() {
 			defer running.Done()
 			if spec.target != targetControllers {
-				f.injectEngineFault(ctx, fault, n, targetRNG)
+				f.injectEngineFault(ctx, fault, target, targetRNG)
 				return
 			}
-			f.injectControllerFault(ctx, fault, n)
+			f.injectControllerFault(ctx, fault, target)
 		}()
 	}
 	running.Wait()
 }
 
-func (f *fleet) injectControllerFault(ctx context.Context, fault Fault, n int) {
+// injectControllerFault injects a fault into one controller, and returns once it has ended.
+func (f *fleet) injectControllerFault(ctx context.Context, fault Fault, controller int) {
 	switch fault.Name {
 	case "kill", "term":
-		f.restartController(n, fault.Name == "term")
+		f.restartController(controller, fault.Name == "term")
 	case "stop":
-		f.clients[n].addStandstill(fault.Duration)
-		_ = f.processes[n].Signal(syscall.SIGSTOP)
+		f.clients[controller].addStandstill(fault.Duration)
+		_ = f.processes[controller].Signal(syscall.SIGSTOP)
 		sleep(ctx, fault.Duration)
-		_ = f.processes[n].Signal(syscall.SIGCONT)
+		_ = f.processes[controller].Signal(syscall.SIGCONT)
 	case "away":
 		f.mu.Lock()
-		f.silentUntil[n] = time.Since(f.startedAt) + fault.Duration
+		f.silentUntil[controller] = time.Since(f.startedAt) + fault.Duration
 		f.mu.Unlock()
-		f.discoveries[n].Silent(true)
+		f.discoveries[controller].Silent(true)
 		sleep(ctx, fault.Duration)
-		f.discoveries[n].Silent(false)
+		f.discoveries[controller].Silent(false)
 	case "late":
 		f.mu.Lock()
-		f.listDelay[n] = fault.Duration
+		f.listDelay[controller] = fault.Duration
 		f.mu.Unlock()
 	case "signals":
-		f.reloadRepeatedly(ctx, n, fault.Duration)
+		f.reloadRepeatedly(ctx, controller, fault.Duration)
 	case "crowd":
-		f.openIdleClients(ctx, n, fault.Duration)
+		f.openIdleClients(ctx, controller, fault.Duration)
 	case "flood":
-		f.floodController(ctx, n, fault.Duration)
+		f.floodController(ctx, controller, fault.Duration)
 	case "eager", "leave":
-		f.clients[n].setBehavior(fault.Name, true)
+		f.clients[controller].setBehavior(fault.Name, true)
 		sleep(ctx, fault.Duration)
-		f.clients[n].setBehavior(fault.Name, false)
+		f.clients[controller].setBehavior(fault.Name, false)
 	}
 }
 
-// heat has a share of the controllers get ten times the mean, others each second.
+// moveHotTraffic gives a share of the controllers ten times the mean job rate, and selects others each second.
 func (f *fleet) moveHotTraffic(ctx context.Context, fault Fault, rng *rand.Rand) {
 	for until := time.Now().Add(fault.Duration); time.Now().Before(until) && ctx.Err() == nil; {
 		targets := fault.pickTargets(rng, f.Controllers)
@@ -303,39 +306,40 @@
 	}
 }
 
-// again ends a controller and starts it anew.
-func (f *fleet) restartController(n int, graceful bool) {
-	p := f.processes[n]
-	p.restartMu.Lock() // another fault may strike it while it is being restarted
-	defer p.restartMu.Unlock()
+// restartController ends a controller, by SIGTERM first if graceful, and starts it again.
+func (f *fleet) restartController(controller int, graceful bool) {
+	process := f.processes[controller]
+	process.restartMu.Lock() // another fault may hit the controller while it is being restarted
+	defer process.restartMu.Unlock()
 	f.mu.Lock()
-	f.restarted[n] = true
+	f.restarted[controller] = true
 	f.mu.Unlock()
-	f.clients[n].excuseLosses(!graceful)
+	f.clients[controller].excuseLosses(!graceful)
 	if graceful && f.KeepConnections {
-		f.terminateAndKill(n)
+		f.terminateAndKill(controller)
 	} else if graceful {
-		_ = p.Signal(syscall.SIGTERM)
-		// The platform's front sends jobs for 0.6 s at most after the signal.
-		time.AfterFunc(400*time.Millisecond, func() { f.clients[n].setOutOfRotation(true) })
+		_ = process.Signal(syscall.SIGTERM)
+		// The platform's front end sends jobs for at most 0.6 s after the signal.
+		time.AfterFunc(400*time.Millisecond, func() { f.clients[controller].setOutOfRotation(true) })
 		select {
-		case <-p.Ended():
+		case <-process.Ended():
 		case <-time.After(10 * time.Second):
-			f.Say("%s does not end", p.Name)
+			f.Say("%s did not exit within 10 s of SIGTERM", process.Name)
 		}
 	}
-	p.Kill()
-	p.setKnownList(f.discoveries[n])
-	if err := p.Start(30 * time.Second); err != nil {
+	process.Kill()
+	process.setKnownList(f.discoveries[controller])
+	if err := process.Start(30 * time.Second); err != nil {
 		f.mu.Lock()
 		f.crashes++
 		f.mu.Unlock()
 		f.Say("%v", err)
 	}
-	f.clients[n].excuseLosses(false)
-	f.clients[n].setOutOfRotation(false)
+	f.clients[controller].excuseLosses(false)
+	f.clients[controller].setOutOfRotation(false)
 }
 
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -343,7 +347,7 @@
 	}
 }
 
-// tell gathers what was seen.
+// collectResult gathers what clients, engines and discovery observed, and evaluates it. Processes must still be running.
 func (f *fleet) collectResult(from, to time.Duration) Result {
 	observations := spread.Observations{From: from, To: to, Engines: f.Engines, Controllers: f.Controllers}
 	for slot := range f.Engines {
@@ -357,25 +361,25 @@
 		audit.Unbidden += unrequested
 		if peakMB = max(peakMB, peak); peak > float64(p.Limits.MemoryMB) {
 			audit.OverMemory++
-			f.Say("%s had %.1f MB of %d", p.Name, peak, p.Limits.MemoryMB)
+			f.Say("%s used %.1f MB of memory, limit %d MB", p.Name, peak, p.Limits.MemoryMB)
 		}
 	}
 	arrivedAt := map[string]time.Duration{}
 	observed := evidence{sentJobs: map[string]*sentJob{}, hosts: f.hosts, restarted: f.restarted, breached: map[int]bool{}, slack: f.slack(), stalls: &f.stalls, budget: configuredBudget, cold: configuredColdStart,
 		dedupWindow: dedupWindow, logf: f.Say}
-	if f.useRelays { // the word to stop an attempt may be held up on its link
+	if f.useRelays { // a message that cancels an attempt may be delayed on its link
 		observed.overlapTolerance = observed.slack
 	}
 	observed.cold.meanJobWork = meanWork(f.kinds)
 	for _, h := range f.hosts {
 		attempts, dials, probes := h.recorder.snapshot()
-		for _, v := range attempts {
-			v.Engine = h.slot
-			observations.Attempts = append(observations.Attempts, v.Attempt)
-			if first, known := arrivedAt[v.id]; !known || v.ArrivedAt < first {
-				arrivedAt[v.id] = v.ArrivedAt
+		for _, attempt := range attempts {
+			attempt.Engine = h.slot
+			observations.Attempts = append(observations.Attempts, attempt.Attempt)
+			if first, known := arrivedAt[attempt.id]; !known || attempt.ArrivedAt < first {
+				arrivedAt[attempt.id] = attempt.ArrivedAt
 			}
-			observed.attempts = append(observed.attempts, hostAttempt{v, h})
+			observed.attempts = append(observed.attempts, hostAttempt{attempt, h})
 		}
 		observations.Dials, observations.Probes = append(observations.Dials, dials...), append(observations.Probes, probes...)
 	}
@@ -388,11 +392,11 @@
 	}
 	observed.checkRules(&audit)
 	for n := range observed.breached {
-		f.Say("log of %s, of a run that began at %v:\n%s", f.processes[n].Name, f.startedAt.UTC().Format(time.RFC3339Nano), f.processes[n].Log())
+		f.Say("log of %s, in a run that started at %v:\n%s", f.processes[n].Name, f.startedAt.UTC().Format(time.RFC3339Nano), f.processes[n].Log())
 	}
 	f.countViolations(&audit)
-	for _, list := range f.discoveries {
-		observations.DiscoveryCalls = append(observations.DiscoveryCalls, list.Times(f.startedAt)...)
+	for _, server := range f.discoveries {
+		observations.DiscoveryCalls = append(observations.DiscoveryCalls, server.Times(f.startedAt)...)
 	}
 	result := Result{Policy: f.Policy, Audit: audit, Figures: spread.Compute(observations), PeakMB: peakMB}
 	if f.Draw {
@@ -403,16 +407,16 @@
 	}
 	survivors := 0.0
 	for n, p := range f.processes {
-		cpu, memory, err := usage(p.PID())
+		cpu, memoryMB, err := usage(p.PID())
 		if err != nil {
 			result.Audit.Crashes++
-			f.Say("%s is gone: %v\n%s", p.Name, p.Err(), p.Log())
+			f.Say("%s has exited: %v\n%s", p.Name, p.Err(), p.Log())
 			continue
 		}
 		if !f.restarted[n] {
 			survivors++
 			result.CPU += cpu.Seconds() / (time.Since(f.startedAt) - from).Seconds()
-			result.Memory += memory
+			result.Memory += memoryMB
 		}
 	}
 	if survivors > 0 {
@@ -421,7 +425,7 @@
 	return result
 }
 
-// coresOf an engine at a place, and its kind.
+// coresOf returns the number of cores of the engine in a slot.
 func (f *fleet) coresOf(slot int) int {
 	if f.Uneven && slot%3 == 2 {
 		return 2 * f.Cores
@@ -429,6 +433,7 @@
 	return f.Cores
 }
 
+// machineType returns the machine type of the engine in a slot.
 func (f *fleet) machineType(slot int) string {
 	if f.coresOf(slot) != f.Cores {
 		return "big"
@@ -436,8 +441,8 @@
 	return "std"
 }
 
-// slack is how much later than at a controller a thing may be seen at an engine: the protocol's 50 ms, what a loaded machine
-// adds, and what the links take.
+// slack returns how much later than the controller an engine may observe an event: the protocol's 50 ms, the delay that a loaded machine
+// adds, and the delay of impaired links and stopped processes.
 func (f *fleet) slack() time.Duration {
 	slack := 150 * time.Millisecond
 	for _, fault := range f.Faults {
@@ -462,27 +467,27 @@
 	return mean
 }
 
-// usage is the processor time and the resident memory in MB of a process.
-func usage(pid int) (cpu time.Duration, memory float64, err error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+// usage returns the CPU time of a process and its resident memory in MB. It fails for a process that has ended.
+func usage(pid int) (cpu time.Duration, memoryMB float64, err error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0, err
 	}
-	_, rest, _ := strings.Cut(string(text), ") ")
+	_, rest, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 22 || fields[0] == "Z" {
 		return 0, 0, fmt.Errorf("process %d has ended", pid)
 	}
-	const tick = time.Second / 100
-	for _, at := range []int{11, 12} {
-		n, _ := strconv.ParseInt(fields[at], 10, 64)
-		cpu += time.Duration(n) * tick
+	const tickLength = time.Second / 100
+	for _, field := range []int{11, 12} {
+		ticks, _ := strconv.ParseInt(fields[field], 10, 64)
+		cpu += time.Duration(ticks) * tickLength
 	}
 	pages, _ := strconv.ParseFloat(fields[21], 64)
 	return cpu, pages * float64(os.Getpagesize()) / (1 << 20), nil
 }
 
-// end ends all that was started.
+// shutdown ends everything that the run started.
 func (f *fleet) shutdown() {
 	f.logMu.Lock()
 	f.logClosed = true
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -22,25 +22,25 @@
 	"yarrowbarrow/lab/standin/discovery"
 )
 
-// SeenMember is what an instance says of another on its status socket.
+// MemberView is what an instance reports of another member on its status socket.
 type MemberView struct {
-	Name     string        `json:"name"`
-	Life     int64         `json:"life"`
-	Status   string        `json:"status"`
-	Age      time.Duration `json:"age_ns"`
-	HeardAge time.Duration `json:"hears_us_ns"`
+	Name        string        `json:"name"`
+	Incarnation int64         `json:"life"`
+	Status      string        `json:"status"`
+	Age         time.Duration `json:"age_ns"`
+	HearsUs    time.Duration `json:"hears_us_ns"`
 }
 
-// SeenFleet is what an instance says of its fleet.
+// FleetView is what an instance reports of its fleet on its status socket.
 type FleetView struct {
-	Name    string       `json:"name"`
-	Life    int64        `json:"life"`
-	Contact string       `json:"contact"`
-	Members []MemberView `json:"members"`
-	Open    struct {
-		Least   int `json:"at_least"`
-		Fresh   int `json:"instances"`
-		Unknown int `json:"unknown"`
+	Name        string       `json:"name"`
+	Incarnation int64        `json:"life"`
+	Contact     string       `json:"contact"`
+	Members     []MemberView `json:"members"`
+	Open        struct {
+		AtLeast   int `json:"at_least"`
+		Instances int `json:"instances"`
+		Unknown   int `json:"unknown"`
 	} `json:"open_jobs"`
 	Counts struct {
 		Sent      int64 `json:"Sent"`
@@ -53,9 +53,9 @@
 	} `json:"counts"`
 }
 
-// Of finds a member, or an empty one.
-func (s FleetView) Member(name string) MemberView {
-	for _, m := range s.Members {
+// Member returns the view of the member with a name, or an empty one if it is not known.
+func (v FleetView) Member(name string) MemberView {
+	for _, m := range v.Members {
 		if m.Name == name {
 			return m
 		}
@@ -63,7 +63,7 @@
 	return MemberView{}
 }
 
-// Talkers are processes of the program that talk to one another over a mesh.
+// MemberGroup is a group of processes of the program that exchange membership messages over a mesh.
 type MemberGroup struct {
 	Processes []*Process
 	Mesh      *relay.Mesh
@@ -73,80 +73,81 @@
 	closed    atomic.Bool
 }
 
-// StartTalkers starts so many, with a period between probes. Close ends them.
-func StartMembers(program string, count int, period time.Duration, seed int64) (t *MemberGroup, err error) {
-	t = &MemberGroup{Mesh: relay.NewMesh(seed), rng: rand.New(rand.NewSource(seed))}
+// StartMembers starts count processes with a period between their probes. Close ends them. On an error everything has been closed.
+func StartMembers(program string, count int, period time.Duration, seed int64) (g *MemberGroup, err error) {
+	g = &MemberGroup{Mesh: relay.NewMesh(seed), rng: rand.New(rand.NewSource(seed))}
 	defer func() {
 		if err != nil {
-			t.Close()
+			g.Close()
 		}
 	}()
-	if t.folder, err = os.MkdirTemp("", "talk"); err != nil {
-		return t, err
+	if g.folder, err = os.MkdirTemp("", "talk"); err != nil {
+		return g, err
 	}
-	if t.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
-		return t, err
+	if g.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
+		return g, err
 	}
-	t.discovery.Tell(true)
-	key := filepath.Join(t.folder, "key")
-	if err = os.WriteFile(key, []byte("a key that all instances share\n"), 0o600); err != nil {
-		return t, err
+	g.discovery.Tell(true)
+	keyFile := filepath.Join(g.folder, "key")
+	if err = os.WriteFile(keyFile, []byte("a key that all instances share\n"), 0o600); err != nil {
+		return g, err
 	}
 	var advertised []string
-	var listens []string
+	var listenAddresses []string
 	for n := range count {
-		listen, err := FreeAddress()
+		listenAddress, err := FreeAddress()
 		if err != nil {
-			return t, err
+			return g, err
 		}
 		meshAddress, err := FreeAddress()
 		if err != nil {
-			return t, err
+			return g, err
 		}
-		memberAddress := strings.Replace(listen, ":"+strconv.Itoa(listenPort), ":7946", 1)
-		address, err := t.Mesh.Add(MemberName(n), meshAddress, memberAddress)
+		memberAddress := strings.Replace(listenAddress, ":"+strconv.Itoa(listenPort), ":7946", 1)
+		address, err := g.Mesh.Add(MemberName(n), meshAddress, memberAddress)
 		if err != nil {
-			return t, err
+			return g, err
 		}
-		listens, advertised = append(listens, listen), append(advertised, address)
+		listenAddresses, advertised = append(listenAddresses, listenAddress), append(advertised, address)
 	}
 	options := Options{Controllers: count, Cores: 1, Rooms: 1}
 	for n := range count {
-		file := filepath.Join(t.folder, MemberName(n)+".conf")
+		file := filepath.Join(g.folder, MemberName(n)+".conf")
 		seeds := strconv.Quote(advertised[0])
 		if count > 1 {
 			seeds += ", " + strconv.Quote(advertised[1])
 		}
-		text := fmt.Sprintf("[fleet \"lab\"]\nadvertise = %q\nseeds = %s\nkey-file = %q\nperiod = %dms\nstatus = %q\n", advertised[n],
-			seeds, key, period.Milliseconds(), t.statusSocket(n))
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			return t, err
+		config := fmt.Sprintf("[fleet \"lab\"]\nadvertise = %q\nseeds = %s\nkey-file = %q\nperiod = %dms\nstatus = %q\n", advertised[n],
+			seeds, keyFile, period.Milliseconds(), g.statusSocket(n))
+		if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
+			return g, err
 		}
-		t.Processes = append(t.Processes, NewProcess(program, t.folder, Setup{Name: MemberName(n), Listen: listens[n], Seed: "1",
-			Discovery: t.discovery.Address(), Known: json.RawMessage(`{"n":0,"events":[]}`), Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		g.Processes = append(g.Processes, NewProcess(program, g.folder, Setup{Name: MemberName(n), Listen: listenAddresses[n], Seed: "1",
+			Discovery: g.discovery.Address(), Known: json.RawMessage(`{"n":0,"events":[]}`), Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
 			Settings: settingsJSON(options, plainKinds(), n, n%max(options.Rooms, 1))}, "serve", "--operators", file))
 	}
-	return t, t.Each(func(n int) error { return t.Processes[n].Start(30 * time.Second) })
+	return g, g.Each(func(n int) error { return g.Processes[n].Start(30 * time.Second) })
 }
 
-// TalkerName is the name of the n-th.
+// MemberName returns the name of the n-th member.
 func MemberName(n int) string { return fmt.Sprintf("t%03d", n) }
 
-func (t *MemberGroup) statusSocket(n int) string {
-	return filepath.Join(t.folder, MemberName(n)+".sock")
+// statusSocket returns the path of a member's status socket.
+func (g *MemberGroup) statusSocket(member int) string {
+	return filepath.Join(g.folder, MemberName(member)+".sock")
 }
 
-// Each does something with all, some at a time.
-func (t *MemberGroup) Each(do func(n int) error) error {
-	errs := make([]error, len(t.Processes))
+// Each runs an action for every member, a limited number at a time, and returns the joined errors.
+func (g *MemberGroup) Each(action func(member int) error) error {
+	errs := make([]error, len(g.Processes))
 	slots := make(chan bool, 2*runtime.NumCPU())
 	var running sync.WaitGroup
-	for n := range t.Processes {
+	for member := range g.Processes {
 		running.Add(1)
 		go func() {
 			defer running.Done()
 			slots <- true
-			errs[n] = do(n)
+			errs[member] = action(member)
 			<-slots
 		}()
 	}
@@ -154,18 +155,18 @@
 	return errors.Join(errs...)
 }
 
-// Says asks one what it knows.
-func (t *MemberGroup) View(n int) (s FleetView, err error) {
-	err = status.Ask(t.statusSocket(n), &s)
-	return s, err
+// View queries the status socket of a member.
+func (g *MemberGroup) View(member int) (view FleetView, err error) {
+	err = status.Ask(g.statusSocket(member), &view)
+	return view, err
 }
 
-// Views asks a part of them.
-func (t *MemberGroup) Views(members []int) (all []FleetView) {
-	views := make([]FleetView, len(t.Processes))
-	_ = t.Each(func(n int) error {
+// Views returns the views of the given members. It is empty for one that does not answer.
+func (g *MemberGroup) Views(members []int) (all []FleetView) {
+	views := make([]FleetView, len(g.Processes))
+	_ = g.Each(func(n int) error {
 		if slices.Contains(members, n) {
-			views[n], _ = t.View(n)
+			views[n], _ = g.View(n)
 		}
 		return nil
 	})
@@ -175,72 +176,75 @@
 	return all
 }
 
-// Counts tells for how many of a part of them each of some others has a status.
-func (t *MemberGroup) CountStatuses(observers, subjects []int) map[string]int {
-	count := map[string]int{}
-	for _, s := range t.Views(observers) {
-		for _, n := range subjects {
-			if name := MemberName(n); name != s.Name {
-				count[s.Member(name).Status]++
+// CountStatuses returns by status how many pairs of an observer and another member among subjects there are in which the observer reports
+// that status for it. An unknown member counts under "".
+func (g *MemberGroup) CountStatuses(observers, subjects []int) map[string]int {
+	counts := map[string]int{}
+	for _, view := range g.Views(observers) {
+		for _, subject := range subjects {
+			if name := MemberName(subject); name != view.Name {
+				counts[view.Member(name).Status]++
 			}
 		}
 	}
-	return count
+	return counts
 }
 
-// Until waits until those of a part hold all of some others for a status, and gives how long that took.
-func (t *MemberGroup) AwaitStatus(timeout time.Duration, observers, subjects []int, want string) (took time.Duration, err error) {
+// AwaitStatus waits until all observers report the same status for all subjects, and returns how long that took. It fails after timeout
+// or when the group is closed.
+func (g *MemberGroup) AwaitStatus(timeout time.Duration, observers, subjects []int, status string) (took time.Duration, err error) {
 	start := time.Now()
 	for {
-		count := t.CountStatuses(observers, subjects)
-		if count[want] > 0 && len(count) == 1 {
+		counts := g.CountStatuses(observers, subjects)
+		if counts[status] > 0 && len(counts) == 1 {
 			return time.Since(start), nil
 		}
-		if time.Since(start) > timeout || t.closed.Load() {
-			return 0, fmt.Errorf("after %v: %v", time.Since(start), count)
+		if time.Since(start) > timeout || g.closed.Load() {
+			return 0, fmt.Errorf("statuses after %v: %v", time.Since(start), counts)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Close ends all.
-func (t *MemberGroup) Close() {
-	t.closed.Store(true)
-	_ = t.Each(func(n int) error { t.Processes[n].Kill(); return nil })
-	t.Mesh.Close()
-	if t.discovery != nil {
-		t.discovery.Close()
+// Close kills the processes and removes their files.
+func (g *MemberGroup) Close() {
+	g.closed.Store(true)
+	_ = g.Each(func(n int) error { g.Processes[n].Kill(); return nil })
+	g.Mesh.Close()
+	if g.discovery != nil {
+		g.discovery.Close()
 	}
-	_ = os.RemoveAll(t.folder)
+	_ = os.RemoveAll(g.folder)
 }
 
-// Talk is what a run of instances that talk shows.
+// Talk holds the measurements of PlayTalk, a run of instances that exchange membership messages.
 type Talk struct {
 	Instances  int           `json:"instances"`
 	Period     time.Duration `json:"period_ns"`
-	Formed     time.Duration `json:"formed_ns"`    // from the last start until all hold all for alive
-	AgeHalf    time.Duration `json:"age_half_ns"`  // of words, over all pairs, in calm
-	AgeMost    time.Duration `json:"age_p99_ns"`   // 99 of 100
-	Datagrams  float64       `json:"datagrams_ps"` // a second and instance
+	Formed     time.Duration `json:"formed_ns"`    // from the last start until every instance reports all others alive
+	AgeHalf    time.Duration `json:"age_half_ns"`  // age of what an instance knows of another without faults: median over all pairs
+	AgeMost    time.Duration `json:"age_p99_ns"`   // 99th percentile
+	Datagrams  float64       `json:"datagrams_ps"` // per second and instance, as Bytes
 	Bytes      float64       `json:"bytes_ps"`
-	CPU        float64       `json:"cpu_share"` // of one core
-	Memory     float64       `json:"memory_mb"`
-	LossFirst  time.Duration `json:"loss_first_ns"` // from a kill until one knows, and until half and all do
+	CPU        float64       `json:"cpu_share"`     // of one core, per instance
+	Memory     float64       `json:"memory_mb"`     // resident, mean of the instances
+	LossFirst  time.Duration `json:"loss_first_ns"` // from a kill until the first instance detects it, until half of them and until all do
 	LossHalf   time.Duration `json:"loss_half_ns"`
 	LossLast   time.Duration `json:"loss_last_ns"`
-	WrongCalm  int           `json:"wrong_calm"` // pairs found gone that are there, over all looks
+	WrongCalm  int           `json:"wrong_calm"` // pairs in which a live instance is reported gone, summed over all queries: without faults, and at 30% loss
 	WrongLossy int           `json:"wrong_lossy"`
-	Healed     time.Duration `json:"healed_ns"` // after a split in halves
+	Healed     time.Duration `json:"healed_ns"` // from the end of a split into halves until all report all others alive
 }
 
-// PlayTalk starts so many instances, looks at them in calm, kills one, loses three datagrams in ten, and splits them.
+// PlayTalk starts count instances and measures them without faults, then kills one, then loses 30% of datagrams, and then splits the
+// instances into halves.
 func PlayTalk(ctx context.Context, program string, count int, period time.Duration, seed int64, say func(string, ...any)) (r Talk, err error) {
-	t, err := StartMembers(program, count, period, seed)
+	group, err := StartMembers(program, count, period, seed)
 	if err != nil {
 		return r, err
 	}
-	stopOnCancel := context.AfterFunc(ctx, t.Close) // what waits for them then finds nobody
-	defer t.Close()
+	stopOnCancel := context.AfterFunc(ctx, group.Close) // pending waits then fail
+	defer group.Close()
 	defer stopOnCancel()
 	all := make([]int, count)
 	for n := range all {
@@ -248,23 +252,23 @@
 	}
 	timeout := time.Duration(60+count) * period
 	r.Instances, r.Period = count, period
-	if r.Formed, err = t.AwaitStatus(timeout, all, all, "alive"); err != nil {
+	if r.Formed, err = group.AwaitStatus(timeout, all, all, "alive"); err != nil {
 		return r, cmp.Or(ctx.Err(), err)
 	}
-	say("all hold all for alive after %v", r.Formed)
-	calm := 20 * period
-	time.Sleep(calm) // words of the start are older than those of calm
-	before := t.totalUsage()
-	datagrams, bytes := t.Mesh.Forwarded()
-	from := time.Now()
-	time.Sleep(calm)
-	instanceSeconds := time.Since(from).Seconds() * float64(count)
-	datagramsAfter, bytesAfter := t.Mesh.Forwarded()
+	say("every instance reports all others alive after %v", r.Formed)
+	calmLength := 20 * period
+	time.Sleep(calmLength) // lets what was learned during the start age out of the measurement
+	before := group.totalUsage()
+	datagrams, bytes := group.Mesh.Forwarded()
+	start := time.Now()
+	time.Sleep(calmLength)
+	instanceSeconds := time.Since(start).Seconds() * float64(count)
+	datagramsAfter, bytesAfter := group.Mesh.Forwarded()
 	r.Datagrams, r.Bytes = float64(datagramsAfter-datagrams)/instanceSeconds, float64(bytesAfter-bytes)/instanceSeconds
-	after := t.totalUsage()
+	after := group.totalUsage()
 	r.CPU, r.Memory = (after.cpu-before.cpu).Seconds()/instanceSeconds, after.memoryMB/float64(count)
 	var ages []time.Duration
-	for _, s := range t.Views(all) {
+	for _, s := range group.Views(all) {
 		for _, m := range s.Members {
 			ages = append(ages, m.Age)
 			if m.Status == "gone" {
@@ -278,12 +282,12 @@
 	}
 	killed := count / 2
 	others := slices.Concat(all[:killed], all[killed+1:])
-	say("one of them is killed")
-	t.Processes[killed].Kill()
-	from = time.Now()
-	for detected := 0; detected < len(others) && time.Since(from) < timeout; time.Sleep(period / 10) {
-		detected = t.CountStatuses(others, []int{killed})["gone"]
-		now := time.Since(from)
+	say("killing one instance")
+	group.Processes[killed].Kill()
+	start = time.Now()
+	for detected := 0; detected < len(others) && time.Since(start) < timeout; time.Sleep(period / 10) {
+		detected = group.CountStatuses(others, []int{killed})["gone"]
+		now := time.Since(start)
 		if detected > 0 && r.LossFirst == 0 {
 			r.LossFirst = now
 		}
@@ -292,31 +296,32 @@
 		}
 		r.LossLast = now
 	}
-	say("three datagrams in ten are lost")
-	t.Mesh.SetLinks(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
-	for until := time.Now().Add(2 * calm); time.Now().Before(until); time.Sleep(period) {
-		r.WrongLossy += t.CountStatuses(others, others)["gone"]
+	say("losing 30% of datagrams")
+	group.Mesh.SetLinks(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
+	for until := time.Now().Add(2 * calmLength); time.Now().Before(until); time.Sleep(period) {
+		r.WrongLossy += group.CountStatuses(others, others)["gone"]
 	}
-	say("they are split in halves")
-	t.Mesh.SetLinks(func(from, to string) relay.Link {
+	say("splitting the instances into halves")
+	group.Mesh.SetLinks(func(from, to string) relay.Link {
 		return relay.Link{Silent: (from < MemberName(killed)) != (to < MemberName(killed))}
 	})
-	time.Sleep(calm)
-	t.Mesh.Heal()
-	if r.Healed, err = t.AwaitStatus(timeout, others, others, "alive"); ctx.Err() != nil {
+	time.Sleep(calmLength)
+	group.Mesh.Heal()
+	if r.Healed, err = group.AwaitStatus(timeout, others, others, "alive"); ctx.Err() != nil {
 		err = ctx.Err()
 	}
 	return r, err
 }
 
-// usedBy is what all instances together have used.
+// resourceUsage is the total of all instances.
 type resourceUsage struct {
 	cpu      time.Duration
 	memoryMB float64
 }
 
-func (t *MemberGroup) totalUsage() (total resourceUsage) {
-	for _, p := range t.Processes {
+// totalUsage returns the usage of all running instances.
+func (g *MemberGroup) totalUsage() (total resourceUsage) {
+	for _, p := range g.Processes {
 		if cpu, memory, err := usage(p.PID()); err == nil {
 			total.cpu, total.memoryMB = total.cpu+cpu, total.memoryMB+memory
 		}
--- a/lab/fleet/members_test.go
+++ b/lab/fleet/members_test.go
@@ -69,7 +69,7 @@
 	t.Parallel()
 	all := talkers(t, 5)
 	others := []int{0, 1, 2, 4}
-	before := all.Views([]int{0})[0].Member(MemberName(3)).Life
+	before := all.Views([]int{0})[0].Member(MemberName(3)).Incarnation
 	all.Processes[3].Kill()
 	t.Log("known to be gone after", all.await(t, others, []int{3}, "gone"))
 	if count := all.CountStatuses(others, others); count["alive"] != 12 {
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	t.Log("back after", all.await(t, numbers(0, 5), numbers(0, 5), "alive"))
-	if now := all.Views([]int{0})[0].Member(MemberName(3)).Life; now <= before {
+	if now := all.Views([]int{0})[0].Member(MemberName(3)).Incarnation; now <= before {
 		t.Errorf("life %d after %d", now, before)
 	}
 	_ = all.Processes[2].Signal(syscall.SIGTERM)
@@ -120,7 +120,9 @@
 		t.Helper()
 		for from := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 			views := all.Views(of)
-			if !slices.ContainsFunc(views, func(s FleetView) bool { return s.Open.Least != want || s.Open.Fresh != instances || s.Open.Unknown > 0 }) {
+			if !slices.ContainsFunc(views, func(s FleetView) bool {
+				return s.Open.AtLeast != want || s.Open.Instances != instances || s.Open.Unknown > 0
+			}) {
 				return
 			}
 			if time.Since(from) > patience {
--- a/lab/fleet/network.go
+++ b/lab/fleet/network.go
@@ -13,7 +13,7 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
-// host is one engine process: a place among the engines is filled by another one after a replacement.
+// host is one engine process. Each slot has one engine at a time; a replacement fills the slot with a new host.
 type host struct {
 	name          string
 	slot          int
@@ -21,13 +21,13 @@
 	room          string
 	engine        *engine.Engine
 	recorder      *engineRecorder
-	relays        []*relay.Relay // by room of controllers; none without faults on links
-	coldStartedAt time.Duration  // when it was told as started cold, 0 for long ago
-	removed       bool
-	drainToldAt   map[int]time.Duration // when each controller was told that it leaves
+	relays        []*relay.Relay        // by room of controllers; empty without faults on links
+	coldStartedAt time.Duration         // when it was announced as started cold; 0: long ago
+	removed       bool                  // replaced in its slot
+	drainToldAt   map[int]time.Duration // by controller, when it learned that the engine leaves
 }
 
-// add starts an engine at a place, at an address of its own or one that another left.
+// addEngine starts an engine in a slot, at a new address if address is empty, otherwise at that of the engine it replaces.
 func (f *fleet) addEngine(slot int, address string) (*host, error) {
 	h := &host{name: fmt.Sprintf("engine-%03d", slot), slot: slot, cores: f.coresOf(slot), room: roomName(slot % f.Rooms), drainToldAt: map[int]time.Duration{},
 		recorder: &engineRecorder{startedAt: f.startedAt, openAttempts: map[int]int{}}}
@@ -64,7 +64,7 @@
 	return h, nil
 }
 
-// at is the host that fills a place now.
+// currentHost returns the host in a slot, or nil while it is being replaced.
 func (f *fleet) currentHost(slot int) *host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// seenFrom is a host as the list tells it to a room.
+// listEntry returns the entry for a host in the list for controllers of a room.
 func (f *fleet) listEntry(h *host, room int, health string) discovery.Host {
 	address := h.engine.Address()
 	if len(h.relays) > 0 {
@@ -92,34 +92,34 @@
 	return discovery.Host{Host: h.name, Dial: address, Site: h.room, Class: f.machineType(h.slot), Health: health, Born: bornMillis}
 }
 
-// tellAll has the list tell every controller of a change, each as late as its list is.
+// announce publishes a change of a host's health in every controller's list, each after the delay of that list.
 func (f *fleet) announce(h *host, health string) {
-	for n := range f.discoveries {
-		tell := func() {
+	for controller := range f.discoveries {
+		update := func() {
 			f.mu.Lock()
 			if health == "active" {
-				delete(h.drainToldAt, n)
-			} else if _, told := h.drainToldAt[n]; !told {
-				// What a silent discovery has to tell counts as told when it speaks again, or 7 s later, as the protocol has it.
+				delete(h.drainToldAt, controller)
+			} else if _, told := h.drainToldAt[controller]; !told {
+				// By the protocol, a change while discovery does not answer counts as known when it answers again, or 7 s later at the latest.
 				now := time.Since(f.startedAt)
-				h.drainToldAt[n] = max(now, min(f.silentUntil[n], now+7*time.Second))
+				h.drainToldAt[controller] = max(now, min(f.silentUntil[controller], now+7*time.Second))
 			}
 			f.mu.Unlock()
-			f.discoveries[n].Tell(false, f.listEntry(h, n%f.Rooms, health))
+			f.discoveries[controller].Tell(false, f.listEntry(h, controller%f.Rooms, health))
 		}
 		f.mu.Lock()
-		listDelay := f.listDelay[n]
+		listDelay := f.listDelay[controller]
 		f.mu.Unlock()
 		if listDelay == 0 {
-			tell()
+			update()
 		} else {
 			f.lateUpdates.Add(1)
-			time.AfterFunc(listDelay, func() { defer f.lateUpdates.Done(); tell() })
+			time.AfterFunc(listDelay, func() { defer f.lateUpdates.Done(); update() })
 		}
 	}
 }
 
-// die ends a host's process; links to it refuse.
+// kill ends the host's process; its relays refuse connections from then on.
 func (h *host) kill() {
 	h.engine.Die()
 	for _, r := range h.relays {
@@ -127,6 +127,7 @@
 	}
 }
 
+// restart starts the host's process again and reopens its relays.
 func (h *host) restart() error {
 	err := h.engine.Return()
 	for _, r := range h.relays {
@@ -137,11 +138,12 @@
 	return err
 }
 
-// replace has an engine drain and another one take its place, cold: half of them at addresses of their own, as soon as the
-// drain is told, the others at the address of the one that left, once that has ended.
+// replaceEngine drains the engine in a slot and starts a cold one in its place: at a new address as soon as the drain is announced, or with
+// sameAddress at the address of the old engine once that has ended. The caller draws sameAddress, so it applies to about half of the
+// replacements.
 func (f *fleet) replaceEngine(ctx context.Context, slot int, sameAddress bool) {
 	old := f.currentHost(slot)
-	if old == nil { // another fault is at it
+	if old == nil { // another fault is replacing it
 		return
 	}
 	f.announce(old, "leaving")
@@ -160,7 +162,7 @@
 	}
 	h, err := f.addEngine(slot, address)
 	if err != nil {
-		f.Say("engine at place %d is not replaced: %v", slot, err)
+		f.Say("engine in slot %d is not replaced: %v", slot, err)
 		return
 	}
 	h.engine.Chill()
@@ -173,7 +175,7 @@
 	}
 }
 
-// links gives the relays between rooms of controllers and hosts that a choice names.
+// selectRelays returns the relays, each between a room of controllers and a host, for which selects returns true.
 func (f *fleet) selectRelays(selects func(room int, h *host) bool) (relays []*relay.Relay) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -187,7 +189,7 @@
 	return relays
 }
 
-// suffer puts a trouble on links for a time.
+// impairLinks impairs the selected links for a duration.
 func (f *fleet) impairLinks(ctx context.Context, duration time.Duration, impairment relay.Impairment, selects func(room int, h *host) bool) {
 	relays := f.selectRelays(selects)
 	start := time.Now()
@@ -198,12 +200,12 @@
 	for _, r := range relays {
 		r.SetImpairment(relay.Impairment{})
 	}
-	f.mu.Lock() // thousands of links take some time themselves
+	f.mu.Lock() // setting thousands of links takes a while itself
 	f.longestImpairment = max(f.longestImpairment, time.Since(start))
 	f.mu.Unlock()
 }
 
-// strikeLinks does what a fault on links does to all that it strikes: rooms that are cut off, or places of engines.
+// injectLinkFault injects a fault into the links of its targets, rooms or engine slots, and returns once it has ended.
 func (f *fleet) injectLinkFault(ctx context.Context, fault Fault, targets []int) {
 	targeted := map[int]bool{}
 	for _, n := range targets {
@@ -215,7 +217,7 @@
 	switch fault.Name {
 	case "cut":
 		f.impairLinks(ctx, fault.Duration, relay.Impairment{Silent: [2]bool{true, true}}, acrossBoundary)
-	case "deaf": // what engines answer does not come back to the struck rooms
+	case "deaf": // answers of engines don't reach controllers in the targeted rooms
 		f.impairLinks(ctx, fault.Duration, relay.Impairment{Silent: [2]bool{relay.ToClient: true}}, fromTargetsOut)
 	case "mute":
 		f.impairLinks(ctx, fault.Duration, relay.Impairment{Silent: [2]bool{relay.ToServer: true}}, fromTargetsOut)
@@ -230,7 +232,7 @@
 	}
 }
 
-// strikeEngines does what a fault of engines does.
+// injectEngineFault injects a fault into the engine in a slot, and returns once it has ended.
 func (f *fleet) injectEngineFault(ctx context.Context, fault Fault, slot int, rng *rand.Rand) {
 	h := f.currentHost(slot)
 	if h == nil {
@@ -250,7 +252,7 @@
 			f.mu.Unlock()
 		}
 		if err := h.restart(); err != nil {
-			f.Say("%s does not come back: %v", h.name, err)
+			f.Say("%s can't be restarted: %v", h.name, err)
 		}
 		if announced {
 			f.announce(h, "active")
@@ -271,7 +273,7 @@
 		h.engine.Slow(4)
 		sleep(ctx, fault.Duration)
 		h.engine.Slow(1)
-	case "flap": // well and late by turns of a second
+	case "flap": // slow and normal, one second each
 		for until := time.Now().Add(fault.Duration); time.Now().Before(until) && ctx.Err() == nil; {
 			h.engine.Slow(4)
 			sleep(ctx, time.Second)
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -1,4 +1,5 @@
-// Package fleet runs real processes of the program between stand-ins on loopback addresses, and puts faults on them.
+// Package fleet runs real processes of the program between stand-in engines and discovery servers on loopback addresses, injects faults,
+// and audits what engines and clients observed.
 package fleet
 
 import (
@@ -20,7 +21,7 @@
 	"yarrowbarrow/lab/standin/discovery"
 )
 
-// Setup is the platform's configuration of one controller.
+// Setup is the configuration that the platform hands to one controller.
 type Setup struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -31,57 +32,57 @@
 	Settings  any             `json:"settings"`
 }
 
-// Limits of a controller's machine.
+// Limits are the resource limits of a controller's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Process is one controller. Its methods may be called from anywhere.
+// Process is one controller: a process of the program, which may be ended and started again. Its methods are safe for concurrent use.
 type Process struct {
 	Setup
 	program, configFile string
 	args                []string
-	restartMu           sync.Mutex // one restart at a time
-	configMu            sync.Mutex // one configuration is written at a time
-	starting            bool       // a life reads its first configuration, which has to be whole; under files
+	restartMu           sync.Mutex // held during a restart
+	configMu            sync.Mutex // held while the configuration file is written; protects starting
+	starting            bool       // a process is starting, and its first configuration must be complete
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
-	ended chan struct{} // closed when the present life is over
+	ended chan struct{} // closed when the current process has ended
 	err   error
 	log   tailBuffer
 
-	exitRequested    bool    // to end: the present life had a signal for that
-	unrequestedExits int     // lives that ended without
-	peakMB           float64 // the most memory resident, over all lives
+	exitRequested    bool    // the current process was sent a terminating signal
+	unrequestedExits int     // exits without a terminating signal
+	peakMB           float64 // highest resident memory of all processes so far
 }
 
-// listenPort is the same for all, as each has a loopback address of its own: a port of 127.0.0.1 that is free now may be
-// the near end of somebody's connection a moment later.
+// listenPort is the same for all listeners, as each has a loopback address of its own. A port of 127.0.0.1 that is free now may be the local
+// end of an outgoing connection a moment later.
 const listenPort = 7050
 
 var addressCounter atomic.Uint32
 
-// FreeAddress picks a loopback address that nobody listens on, and nobody connects from. It is not tried: a process that is
-// just being started would hold on to the trial for a moment after it is over, and the address would be in use.
+// FreeAddress returns a loopback address that no one listens on or connects from. It does not try to listen on it: a process that is being
+// forked would inherit the socket and keep the address in use for a moment after the trial.
 func FreeAddress() (string, error) {
 	n := addressCounter.Add(1)
 	if n > 250*250 {
-		return "", errors.New("no loopback address is free")
+		return "", errors.New("all loopback addresses have been used")
 	}
-	// By process, as several of them may listen on such addresses at once.
+	// Depends on the process id, because several test processes may run at the same time.
 	pid := uint32(os.Getpid())
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+pid%200, (pid/200+n/250)%250, 1+n%250, listenPort), nil
 }
 
-// NewProcess prepares a controller of a built program; its configuration goes into a folder.
+// NewProcess returns a controller that is not started yet. program is the path of the built program; the configuration is written to folder.
 func NewProcess(program, folder string, setup Setup, args ...string) *Process {
 	return &Process{Setup: setup, program: program, args: args, configFile: filepath.Join(folder, setup.Name+".json")}
 }
 
-// Start begins a life of the process and waits until it listens, or for as long as is given.
+// Start starts the process and waits until it listens. It fails if the process ends before that, or after timeout.
 func (p *Process) Start(timeout time.Duration) error {
 	p.setStarting(true)
 	defer p.setStarting(false)
@@ -91,7 +92,7 @@
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configFile)
 	cmd.Stdout, cmd.Stderr = &p.log, &p.log
-	// A rig that is killed takes its processes with it.
+	// The kernel kills the process when the rig is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", p.Name, err)
@@ -117,35 +118,36 @@
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("%s ended before it served: %w\n%s", p.Name, errors.Join(p.Err(), err), p.Log())
+			return fmt.Errorf("%s ended before it listened: %w\n%s", p.Name, errors.Join(p.Err(), err), p.Log())
 		case <-time.After(10 * time.Millisecond):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s does not listen: %w\n%s", p.Name, err, p.Log())
+			return fmt.Errorf("%s does not listen within the timeout: %w\n%s", p.Name, err, p.Log())
 		}
 	}
 }
 
-// knows has the next life begin with what discovery has told by now, as the platform does.
+// setKnownList gives the next process the list that discovery has published by now, as the platform does.
 func (p *Process) setKnownList(list *discovery.Discovery) {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
 	p.Known = list.Since(0)
 }
 
+// setStarting notes whether a process is starting, so that writeConfig does not truncate its configuration.
 func (p *Process) setStarting(yes bool) {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
 	p.starting = yes
 }
 
-// configure puts a configuration where the process reads it; a torn one ends in the middle, but for a process that is being started,
-// which rightly ends on that. It is in place at once.
-func (p *Process) writeConfig(s Setup, truncated bool) error {
+// writeConfig atomically replaces the configuration file of the process. With truncated it writes only the first half, unless the process
+// is starting: it would rightly exit on a truncated file.
+func (p *Process) writeConfig(setup Setup, truncated bool) error {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
 	path := p.configFile
-	raw, err := json.Marshal(s)
+	raw, err := json.Marshal(setup)
 	if err != nil {
 		return err
 	}
@@ -158,24 +160,24 @@
 	return os.Rename(path+".new", path)
 }
 
-// Signal sends one to the present life: SIGSTOP and SIGCONT for a standstill, SIGTERM, SIGHUP, SIGKILL.
-func (p *Process) Signal(s syscall.Signal) error {
-	terminates := s == syscall.SIGTERM || s == syscall.SIGINT || s == syscall.SIGKILL
+// Signal sends a signal to the current process. It fails if none was started or it has ended.
+func (p *Process) Signal(sig syscall.Signal) error {
+	terminates := sig == syscall.SIGTERM || sig == syscall.SIGINT || sig == syscall.SIGKILL
 	if terminates {
-		p.recordPeak() // as there is none to ask for afterwards
+		p.recordPeak() // it can't be read after the process has ended
 	}
 	p.mu.Lock()
 	p.exitRequested = p.exitRequested || terminates
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return fmt.Errorf("%s was not started", p.Name)
+		return fmt.Errorf("%s: signal to a process that was not started", p.Name)
 	}
-	return p.cmd.Process.Signal(s)
+	return p.cmd.Process.Signal(sig)
 }
 
-// SignalIfTaken sends a signal to the present life if that ignores or catches it by now, and tells whether it did. In the first
-// moments of a process, before its libraries are loaded, only its parent could have it ignored.
-func (p *Process) SignalIfHandled(s syscall.Signal) bool {
+// SignalIfHandled sends a signal to the current process if that ignores or catches it by now, and reports whether it sent it. Before the
+// libraries of a new process are loaded, only its parent could have set the signal to be ignored.
+func (p *Process) SignalIfHandled(sig syscall.Signal) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
 		return false
@@ -186,36 +188,36 @@
 			continue
 		}
 		mask, err := strconv.ParseUint(strings.TrimSpace(value), 16, 64)
-		if err == nil && mask&(1<<(s-1)) != 0 {
-			return p.Signal(s) == nil
+		if err == nil && mask&(1<<(sig-1)) != 0 {
+			return p.Signal(sig) == nil
 		}
 	}
 	return false
 }
 
-// Ended is closed when the present life is over.
+// Ended returns a channel that is closed when the current process has ended; nil before the first start.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// Err tells how the last life ended: nil with exit code 0.
+// Err returns how the last process ended: nil for exit code 0.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Kill ends the present life, if there is one, and waits for its end.
+// Kill kills the current process, if there is one, and waits until it has ended.
 func (p *Process) Kill() {
 	if p.Ended() != nil {
-		_ = p.Signal(syscall.SIGKILL) // which also ends one that is stopped; an error tells that it is over
+		_ = p.Signal(syscall.SIGKILL) // also ends a stopped process; fails if it has already ended
 		<-p.Ended()
 	}
 }
 
-// PID of the present life, or 0.
+// PID returns the process id of the current process, or 0 before the first start.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,14 +227,14 @@
 	return p.cmd.Process.Pid
 }
 
-// PeakMB is the most memory that the present life has had resident, in MB, pages of files among it; 0 once it has ended.
+// PeakMB returns the highest resident memory of the current process in MB, including file pages, or 0 if it has ended.
 func (p *Process) PeakMB() float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.PID()))
 	if err != nil {
 		return 0
 	}
 	for line := range strings.Lines(string(status)) {
-		if text, is := strings.CutPrefix(line, "VmHWM:"); is {
+		if text, found := strings.CutPrefix(line, "VmHWM:"); found {
 			kB, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(text), "kB")), 64)
 			return kB / 1024
 		}
@@ -240,7 +242,7 @@
 	return 0
 }
 
-// notePeak keeps the peak of the present life with those of the others.
+// recordPeak updates peakMB with the peak of the current process.
 func (p *Process) recordPeak() {
 	peak := p.PeakMB()
 	p.mu.Lock()
@@ -248,33 +250,33 @@
 	p.peakMB = max(p.peakMB, peak)
 }
 
-// history tells how many lives ended without a signal for that, and the most memory of all.
+// exitsAndPeak returns the number of exits without a terminating signal, and the highest memory of all processes in MB.
 func (p *Process) exitsAndPeak() (unrequestedExits int, peakMB float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unrequestedExits, p.peakMB
 }
 
-// Log is the end of what all lives wrote.
+// Log returns the end of what all processes wrote to stdout and stderr.
 func (p *Process) Log() string { return p.log.String() }
 
-// tail keeps the last of what is written to it.
+// tailBuffer is a writer that keeps the end of what was written to it.
 type tailBuffer struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-// mostLog of each process is kept: some hundred lines.
+// maxLogBytes of each controller's log are kept at least, some hundred lines. The buffer may grow to twice that.
 const maxLogBytes = 64 << 10
 
-func (t *tailBuffer) Write(b []byte) (int, error) {
+func (t *tailBuffer) Write(data []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.text = append(t.text, b...)
+	t.text = append(t.text, data...)
 	if excess := len(t.text) - 2*maxLogBytes; excess > 0 {
 		t.text = bytes.Clone(t.text[len(t.text)-maxLogBytes:])
 	}
-	return len(b), nil
+	return len(data), nil
 }
 
 func (t *tailBuffer) String() string {
--- a/lab/fleet/report/report.go
+++ b/lab/fleet/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes runs of a fleet as one HTML page that needs nothing else: a table of figures, and for each run how
-// busy each engine was over time, what became of jobs by when they were sent, and how controllers fared.
+// Package report writes runs of a fleet as one self-contained HTML page: a table of figures, and for each run plots of how busy each engine
+// was over time, of the outcomes of jobs by when they were sent, and of the share of jobs in time by controller.
 package report
 
 import (
@@ -25,16 +25,16 @@
 	Values []string
 }
 
-// Page is what is shown.
+// Page is the content of a report.
 type Page struct {
 	Title   string
-	Command string // that plays it again
+	Command string // command line that repeats the runs
 	Faults  []fleet.Fault
 	Rows    []Row
 	Results []fleet.Result
 }
 
-// page is read on first use, as a controller needs none of it.
+// parsedTemplate parses the template on first use, because the same program runs as a controller, which does not need it.
 var parsedTemplate = sync.OnceValue(func() *template.Template { return template.Must(template.New("page").Parse(pageTemplate)) })
 
 const pageTemplate = `<!doctype html>
@@ -46,27 +46,27 @@
 h2 { margin-top: 2em } figure { margin: 1em 0 } figcaption { color: #555; max-width: 60em } svg { max-width: 100%; height: auto }
 </style>
 <h1>{{.Title}}</h1>
-<p>Played again by <code>{{.Command}}</code>.{{if .Faults}} Faults:{{range .Faults}} <code>{{.}}</code>{{end}}.{{end}}</p>
+<p>Repeat with <code>{{.Command}}</code>.{{if .Faults}} Faults:{{range .Faults}} <code>{{.}}</code>{{end}}.{{end}}</p>
 <table><tr><th></th>{{range .Results}}<th>{{.Policy}}</th>{{end}}</tr>
 {{range .Rows}}<tr><td>{{.Name}}</td>{{range .Values}}<td>{{.}}</td>{{end}}</tr>
 {{end}}</table>
 {{range .Plots}}<h2>{{.Name}}</h2>
-<figure>{{.Engines}}<figcaption>Engines, one a row, over time: white idle, blue all cores busy, red jobs sharing cores. Grey
-lines are the starts of faults.</figcaption></figure>
-<figure>{{.Jobs}}<figcaption>Jobs by when they were sent: in time (green), late (yellow), turned away (orange), no answer
+<figure>{{.Engines}}<figcaption>Engines, one per row, over time: white idle, blue all cores busy, red jobs sharing cores. Grey
+lines mark the starts of faults.</figcaption></figure>
+<figure>{{.Jobs}}<figcaption>Jobs by when they were sent: in time (green), late (yellow), rejected (orange), no answer
 (red).</figcaption></figure>
-<figure>{{.Controllers}}<figcaption>Controllers by the jobs they had (across) and the part of them done in time (up).</figcaption></figure>
-<figure>{{.Calls}}<figcaption>Connections dialled to engines (blue) and calls to discovery (grey), over the fleet.</figcaption></figure>
+<figure>{{.Controllers}}<figcaption>Controllers by their number of jobs (x) and the share of them done in time (y).</figcaption></figure>
+<figure>{{.Calls}}<figcaption>Connections opened to engines (blue) and calls to discovery (grey), all controllers together.</figcaption></figure>
 {{end}}</html>
 `
 
-// plots of one run.
+// plots are the plots of one run.
 type plots struct {
 	Name                              string
 	Engines, Jobs, Controllers, Calls template.HTML
 }
 
-// Write writes the page.
+// Write writes the page as HTML. Results without a timeline have no plots.
 func Write(w io.Writer, p Page) error {
 	data := struct {
 		Page
@@ -81,10 +81,10 @@
 	return parsedTemplate().Execute(w, data)
 }
 
-// Sizes of a plot in pixels: left of it stands its scale.
+// Sizes of a plot in pixels: its width, and the margins for the scales on the left and at the bottom.
 const width, left, bottom = 960, 56, 22
 
-// draw makes a plot of a height, with a frame and a scale of time under it.
+// renderPlot renders a plot of a height as SVG, with a frame. If length is above 0, it has a time scale and a line at the start of each fault.
 func renderPlot(height int, length time.Duration, faults []fleet.Fault, paint func(*svg.SVG)) template.HTML {
 	var b bytes.Buffer
 	s := svg.New(&b)
@@ -105,22 +105,23 @@
 	}
 	s.End()
 	rendered := b.Bytes()
-	if at := bytes.Index(rendered, []byte("<svg")); at > 0 { // the page has one declaration, its own
+	if at := bytes.Index(rendered, []byte("<svg")); at > 0 { // drop the XML declaration, which is not allowed inside HTML
 		rendered = rendered[at:]
 	}
-	return template.HTML(rendered) // of numbers, and of names of faults that are from a list
+	return template.HTML(rendered) // safe: contains only numbers and names of known faults
 }
 
+// timeToX returns the x coordinate of a time in a plot that spans length.
 func timeToX(t, length time.Duration) int {
 	return left + int(float64(width-left-1)*float64(t)/float64(length))
 }
 
-// mark writes what a height of a plot stands for.
+// labelY writes a label of the y axis.
 func labelY(s *svg.SVG, y int, text string) {
 	s.Text(left-4, y+4, text, "font:11px sans-serif;text-anchor:end;fill:#555")
 }
 
-// heat is how busy each engine was.
+// engineHeatmap renders how busy each engine was over time.
 func engineHeatmap(p *spread.Timeline, faults []fleet.Fault) template.HTML {
 	row := max(min(320/max(len(p.Engines), 1), 16), 3)
 	length := p.Window * time.Duration(len(p.Jobs))
@@ -136,7 +137,7 @@
 	})
 }
 
-// shade goes from white over blue, all cores busy, to red, three jobs a core.
+// loadColor returns a color from white (idle) over blue (all cores busy) to red (three jobs per core).
 func loadColor(used float64) string {
 	if used <= 1 {
 		brightness := int(255 - 155*math.Max(used, 0))
@@ -146,7 +147,7 @@
 	return fmt.Sprintf("rgb(%d,%d,%d)", int(100+155*excess), int(100-60*excess), int(255-215*excess))
 }
 
-// outcomes are stacked bars of what became of jobs.
+// outcomeBars renders the outcomes of jobs as stacked bars over time.
 func outcomeBars(p *spread.Timeline, faults []fleet.Fault) template.HTML {
 	const height = 160
 	maxSent := 1
@@ -172,7 +173,7 @@
 	})
 }
 
-// fared is a dot for each controller.
+// controllerScatter renders a dot for each controller that had jobs.
 func controllerScatter(p *spread.Timeline) template.HTML {
 	const height = 140
 	if len(p.Controllers) == 0 {
@@ -192,7 +193,7 @@
 	})
 }
 
-// calls are two lines.
+// callLines renders the rates of dials and of discovery calls as two lines.
 func callLines(p *spread.Timeline, faults []fleet.Fault) template.HTML {
 	const height = 100
 	maxCount := max(slices.Max(p.Dials), slices.Max(p.DiscoveryCalls), 1)
--- a/lab/fleet/soak.go
+++ b/lab/fleet/soak.go
@@ -14,30 +14,30 @@
 	"yarrowbarrow/lab/flood"
 )
 
-// Soak draws a run from a seed: 10 to 40 processes, four to nine faults of all kinds that overlap in time, lists from a handful of
-// engines to thousands, clients that use their connections until the kill, and a kill at the protocol's earliest. The invariants
-// are the audit's. Each kind of fault is drawn as often as any other.
+// Soak returns the options of a run drawn from a seed: 10 to 40 controllers, four to nine overlapping faults of all kinds plus terminations,
+// lists from a handful of engines to more than a thousand, clients that use their connections until the controller is killed, and kills at
+// the earliest time that the protocol allows. The audit checks the invariants. Each kind of fault is equally likely.
 func Soak(seed int64, length time.Duration) Options {
 	rng := rand.New(rand.NewSource(seed))
-	o := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true, KeepConnections: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
-	o.Engines = []int{5, 8, 16, 40, 400, 1200}[rng.Intn(6)]
+	options := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true, KeepConnections: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
+	options.Engines = []int{5, 8, 16, 40, 400, 1200}[rng.Intn(6)]
 	if rng.Intn(3) == 0 {
-		o.Settled = []int{100, 300, 900}[rng.Intn(3)]
+		options.Settled = []int{100, 300, 900}[rng.Intn(3)]
 	}
-	o.PerSecond = 160 / float64(o.Controllers)
-	o.Cores = max(int(math.Ceil(1.6*soakMeanCores/float64(o.Engines))), 1)
-	o.Faults = DrawFaults(seed, 4+rng.Intn(6), length)
-	// In every run controllers are told to end, and in half of them engines hang from just before until they are gone.
+	options.PerSecond = 160 / float64(options.Controllers)
+	options.Cores = max(int(math.Ceil(1.6*soakMeanCores/float64(options.Engines))), 1)
+	options.Faults = DrawFaults(seed, 4+rng.Intn(6), length)
+	// Every run terminates controllers, and in half of the runs engines hang from shortly before that until the controllers have ended.
 	termAt := (length/6 + time.Duration(rng.Int63n(int64(length)/4))).Round(100 * time.Millisecond)
-	o.Faults = append(o.Faults, Fault{Name: "term", Share: 0.1 + 0.3*rng.Float64(), At: termAt})
+	options.Faults = append(options.Faults, Fault{Name: "term", Share: 0.1 + 0.3*rng.Float64(), At: termAt})
 	if rng.Intn(2) == 0 {
-		o.Faults = append(o.Faults, Fault{Name: "hang", Share: 0.2 + 0.3*rng.Float64(), At: termAt - length/30, Duration: maxExitDeadline + killDelay})
+		options.Faults = append(options.Faults, Fault{Name: "hang", Share: 0.2 + 0.3*rng.Float64(), At: termAt - length/30, Duration: maxExitDeadline + killDelay})
 	}
-	return o
+	return options
 }
 
-// hostile adds peers that send what can't be read or all they can, crowds of clients, and signals, to a run. They are drawn apart, so
-// that a seed's other faults are the same with and without.
+// addHostileFaults adds peers that flood or send malformed data, crowds of idle clients, and signals. They are drawn from a separate
+// generator, so that the other faults of a seed are the same with and without them.
 func (o *Options) addHostileFaults() {
 	rng := rand.New(rand.NewSource(o.Seed ^ 0x5eed))
 	draw := func(name string, share float64, maxExtra time.Duration) {
@@ -55,16 +55,16 @@
 	}
 }
 
-// Soaked is what a run of a soak came to.
+// Soaked is the result of one run of a soak.
 type Soaked struct {
 	Seed    int64
 	Options Options
 	Result  Result
-	Said    []string // what its rig had to say, for a run that broke a rule
+	Said    []string // log messages of the rig
 }
 
-// RunSoak plays seeds from a first one, so many side by side, and hands over each as it ends. It stops with the first error.
-// Hostile runs have peers that flood, crowds and signals besides.
+// RunSoak runs seeds from first on, up to parallel of them at a time, and calls each with every result, one call at a time. It returns the
+// first error. With hostile, runs also have the faults of addHostileFaults.
 func RunSoak(ctx context.Context, program string, first int64, seeds, parallel int, length time.Duration, hostile bool, each func(Soaked)) error {
 	runSlots, results := make(chan bool, max(parallel, 1)), make(chan error, seeds)
 	var eachMu sync.Mutex
@@ -100,41 +100,42 @@
 	return nil
 }
 
-// soakCores is what the jobs of a soak keep busy in the mean: 160 a second of 72 ms.
+// soakMeanCores is the mean number of cores that the jobs of a soak keep busy: 160 jobs per second of 72 ms.
 const soakMeanCores = 11.5
 
-// longestExit and killAfter are the protocol's: the longest deadline counted at an exit, and when after it and the signal to end
-// a process may be killed.
+// By the protocol, a process may be killed once the longest deadline of its jobs, at most maxExitDeadline, and killDelay have passed since
+// SIGTERM.
 const maxExitDeadline, killDelay = 3 * time.Second, 700 * time.Millisecond
 
-// endAtTheEarliest tells a controller to end, more than once and with other signals between, and kills it at the protocol's
-// earliest. New connections come for 0.3 s more; open ones are used until they are ended.
-func (f *fleet) terminateAndKill(n int) {
-	p := f.processes[n]
+// terminateAndKill sends a controller SIGTERM repeatedly, with other signals in between, until it ends or may be killed by the protocol; the
+// caller then kills it. Clients send jobs for 0.3 s more over new connections, and over open ones until those are closed.
+func (f *fleet) terminateAndKill(controller int) {
+	process := f.processes[controller]
 	kill := time.After(min(longestDeadline(f.kinds), maxExitDeadline) + killDelay)
-	time.AfterFunc(300*time.Millisecond, func() { f.clients[n].setOutOfRotation(true) })
+	time.AfterFunc(300*time.Millisecond, func() { f.clients[controller].setOutOfRotation(true) })
 	signalTicker := time.NewTicker(20 * time.Millisecond)
 	defer signalTicker.Stop()
 	for count := 0; ; count++ {
-		s := [...]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR1}[count%4]
-		_ = p.Signal(s) // an error tells that it has ended
+		sig := [...]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR1}[count%4]
+		_ = process.Signal(sig) // fails once the process has ended
 		select {
-		case <-p.Ended():
-			if err := p.Err(); err != nil {
-				f.recordCrash("%s has ended badly: %v\n%s", p.Name, err, p.Log())
+		case <-process.Ended():
+			if err := process.Err(); err != nil {
+				f.recordCrash("%s exited with an error: %v\n%s", process.Name, err, process.Log())
 			}
 			return
 		case <-kill:
-			f.Say("%s is killed", p.Name)
+			f.Say("%s did not exit in time and will be killed", process.Name)
 			return
 		case <-signalTicker.C:
 		}
 	}
 }
 
-// memoryEvery is how often the peaks of memory are looked at, as those of a life that ended are gone.
+// memorySampleInterval is how often peak memory is read, as it can't be read once a process has ended.
 const memorySampleInterval = 100 * time.Millisecond
 
+// sampleMemory records the peak memory of all processes until ctx ends.
 func (f *fleet) sampleMemory(ctx context.Context) {
 	ticker := time.NewTicker(memorySampleInterval)
 	defer ticker.Stop()
@@ -150,21 +151,22 @@
 	}
 }
 
-// flood has hostile clients come to a controller, one at a time and of all kinds by turns, each for some MB at most.
-func (f *fleet) floodController(ctx context.Context, n int, duration time.Duration) {
-	until := time.Now().Add(duration)
+// floodController runs hostile clients against a controller, one at a time and of each kind in turn, each sending some MB at most.
+func (f *fleet) floodController(ctx context.Context, controller int, duration time.Duration) {
+	deadline := time.Now().Add(duration)
 	floods := flood.Clients(f.kinds[0].name)
-	for next := n; time.Now().Before(until) && ctx.Err() == nil; next++ {
+	for next := controller; time.Now().Before(deadline) && ctx.Err() == nil; next++ {
 		current := floods[next%len(floods)]
 		current.Times, current.Deadline = min(current.Times, maxFloodPieces), time.Second
-		_ = current.Run(f.processes[n].Listen) // an error tells that it is being restarted
+		_ = current.Run(f.processes[controller].Listen) // fails while the controller is being restarted
 		sleep(ctx, 50*time.Millisecond)
 	}
 }
 
-// mostPieces of a flood are sent at a time: a MiB each, mostly.
+// maxFloodPieces is how many pieces one hostile client sends, most of them 1 MiB.
 const maxFloodPieces = 4
 
+// recordCrash counts and logs a process that ended with an error.
 func (f *fleet) recordCrash(format string, args ...any) {
 	f.mu.Lock()
 	f.crashes++
@@ -172,43 +174,43 @@
 	f.Say(format, args...)
 }
 
-// signals has a controller take one configuration after the other; each moves discovery to another connection point of the same
-// list, and one of them can't be read.
-func (f *fleet) reloadRepeatedly(ctx context.Context, n int, duration time.Duration) {
-	p := f.processes[n]
-	first := p.Discovery
-	pause := time.NewTicker(max(duration/20, 10*time.Millisecond))
-	defer pause.Stop()
+// reloadRepeatedly has a controller reload its configuration again and again. Most of the configurations move discovery to another address
+// that serves the same list, and every fifth is truncated.
+func (f *fleet) reloadRepeatedly(ctx context.Context, controller int, duration time.Duration) {
+	process := f.processes[controller]
+	firstAddress := process.Discovery
+	ticker := time.NewTicker(max(duration/20, 10*time.Millisecond))
+	defer ticker.Stop()
 	for round := range 20 {
-		address := first
+		address := firstAddress
 		if round%2 == 0 && round < 18 {
-			address = f.discoveries[n].Second()
+			address = f.discoveries[controller].Second()
 		}
-		p.reconfigure(address, round%5 == 3)
-		p.SignalIfHandled(syscall.SIGHUP)
+		process.reconfigure(address, round%5 == 3)
+		process.SignalIfHandled(syscall.SIGHUP)
 		if round%4 == 0 {
-			p.SignalIfHandled(syscall.SIGUSR1)
+			process.SignalIfHandled(syscall.SIGUSR1)
 		}
 		select {
 		case <-ctx.Done():
-		case <-pause.C:
+		case <-ticker.C:
 		}
 	}
-	p.reconfigure(first, false)
-	p.SignalIfHandled(syscall.SIGHUP)
+	process.reconfigure(firstAddress, false)
+	process.SignalIfHandled(syscall.SIGHUP)
 }
 
-// crowdShare of a controller's descriptors are taken by idle clients.
+// idleClientShare is the share of a controller's descriptors that idle clients take.
 const idleClientShare = 0.45
 
-// crowd has idle clients connect and stay.
-func (f *fleet) openIdleClients(ctx context.Context, n int, duration time.Duration) {
+// openIdleClients opens idle client connections to a controller and keeps them for a duration.
+func (f *fleet) openIdleClients(ctx context.Context, controller int, duration time.Duration) {
 	until := time.After(duration)
 	var conns []net.Conn
-	for range int(idleClientShare * float64(f.processes[n].Limits.Sockets)) {
-		conn, err := net.DialTimeout("tcp", f.processes[n].Listen, time.Second)
+	for range int(idleClientShare * float64(f.processes[controller].Limits.Sockets)) {
+		conn, err := net.DialTimeout("tcp", f.processes[controller].Listen, time.Second)
 		if err != nil {
-			continue // it is being restarted
+			continue // the controller is being restarted
 		}
 		conns = append(conns, conn)
 	}
@@ -221,7 +223,8 @@
 	}
 }
 
-// countViolations adds what processes counted themselves. An answer that is overdue where the process was stopped is physics.
+// countViolations adds the invariant violations, panics and fatal errors in the processes' logs. Overdue answers of a process that was
+// stopped are unavoidable and do not count.
 func (f *fleet) countViolations(a *Audit) {
 	for n, p := range f.processes {
 		for line := range strings.Lines(p.Log()) {
@@ -234,13 +237,14 @@
 	}
 }
 
-// reconfigure writes another configuration for a process, to be taken with HUP; a torn one ends in the middle.
+// reconfigure writes a configuration with another address of discovery, which the process reads on SIGHUP. A truncated one ends in the
+// middle.
 func (p *Process) reconfigure(address string, truncated bool) {
 	p.configMu.Lock()
 	setup := p.Setup
 	p.configMu.Unlock()
 	setup.Discovery = address
 	if err := p.writeConfig(setup, truncated); err != nil {
-		panic(fmt.Sprint("a configuration can't be written: ", err)) // the rig's own folder
+		panic(fmt.Sprint("can't write a configuration file: ", err)) // the file is in the rig's own folder
 	}
 }
