--- a/lab/fleet/ends_test.go
+++ b/lab/fleet/ends_test.go
@@ -10,65 +10,65 @@
 	"time"
 )
 
-// startLogging starts a process whose log goes to a pipe, which the test holds.
-func startLogging(t *testing.T) (p *Process, log *os.File) {
+// startWithLogPipe starts a process that logs to a pipe, and returns the read end.
+func startWithLogPipe(t *testing.T) (p *Process, log *os.File) {
 	t.Helper()
-	p, _, _ = between(t, 256, shortSettings, 1)
-	log, w, err := os.Pipe()
+	p, _, _ = newProcessWithFakes(t, 256, shortSettings, 1)
+	log, writeEnd, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { log.Close() })
-	// A shell hands the pipe on, as the process' own output is kept by the rig.
-	p.program, p.args = "/bin/sh", []string{"-c", fmt.Sprintf(`exec %q --log-level debug serve 2>/proc/%d/fd/%d`, program, os.Getpid(), w.Fd())}
-	if err := p.Start(patience); err != nil {
+	// The rig collects the output of the process that it starts, so a shell redirects the log to the pipe.
+	p.program, p.args = "/bin/sh", []string{"-c", fmt.Sprintf(`exec %q --log-level debug serve 2>/proc/%d/fd/%d`, program, os.Getpid(), writeEnd.Fd())}
+	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	w.Close()
+	writeEnd.Close()
 	return p, log
 }
 
-// TestLogReaderGoneEndsProcess: where nobody reads the log any more, clients are answered as ever.
+// TestLogReaderGoneEndsProcess guards against a process that ends when it writes to a log pipe whose reader has closed it.
 func TestLogReaderGoneEndsProcess(t *testing.T) {
 	t.Parallel()
-	p, log := startLogging(t)
+	p, log := startWithLogPipe(t)
 	log.Close()
-	g := newGuest(t, p, 1)
+	g := newTestClient(t, p, 1)
 	for range 10 {
-		g.ask()
-		if err := g.answered(); err != nil {
+		g.sendJob()
+		if err := g.awaitAnswers(); err != nil {
 			t.Error(err)
 		}
 	}
-	lives(t, p)
+	requireRunning(t, p)
 }
 
-// TestStalledLogHoldsUpProcess: the same where its reader stands still.
+// TestStalledLogHoldsUpProcess guards against a process that blocks when its log pipe is full because the reader does not read.
 func TestStalledLogHoldsUpProcess(t *testing.T) {
 	t.Parallel()
-	p, _ := startLogging(t)
-	g := newGuest(t, p, 1)
+	p, _ := startWithLogPipe(t)
+	g := newTestClient(t, p, 1)
 	from := time.Now()
-	for range 300 { // each with some lines, against 64 KiB of a pipe
-		g.ask()
-		if err := g.answered(); err != nil {
+	for range 300 { // each logs some lines, and the pipe holds 64 KiB
+		g.sendJob()
+		if err := g.awaitAnswers(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(from); took > patience/2 {
-		t.Error("took ", took)
+	if took := time.Since(from); took > testTimeout/2 {
+		t.Error("answers took ", took)
 	}
-	lives(t, p)
+	requireRunning(t, p)
 }
 
-// TestSignalsInSeriesOverExit: signals without a pause until a process is gone don't change how it ends.
+// TestSignalsInSeriesOverExit checks that a process told to end exits with code 0 even if it gets signals without a pause until it has exited.
 func TestSignalsInSeriesOverExit(t *testing.T) {
 	for range 20 {
-		p := alone(t, 256)
-		p.must(t, syscall.SIGTERM)
-		for over := false; !over; time.Sleep(50 * time.Microsecond) {
+		p := startAlone(t, 256)
+		p.mustSignal(t, syscall.SIGTERM)
+		for ended := false; !ended; time.Sleep(50 * time.Microsecond) {
 			for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGINT, syscall.SIGPIPE} {
-				over = over || p.Signal(s) != nil
+				ended = ended || p.Signal(s) != nil
 			}
 		}
 		<-p.Ended()
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestLargeConfigurationOnHangup: a configuration of any length is refused without being kept.
+// TestLargeConfigurationOnHangup guards against a process that reads an oversized configuration into memory on SIGHUP instead of refusing it.
 func TestLargeConfigurationOnHangup(t *testing.T) {
 	t.Parallel()
-	p := alone(t, 256)
+	p := startAlone(t, 256)
 	large, err := os.Create(filepath.Join(t.TempDir(), "large"))
 	if err != nil {
 		t.Fatal(err)
@@ -93,14 +93,14 @@
 	if err := os.Rename(large.Name(), p.configFile); err != nil {
 		t.Fatal(err)
 	}
-	p.must(t, syscall.SIGHUP)
-	for until := time.Now().Add(patience); !p.logged("configuration not taken"); time.Sleep(10 * time.Millisecond) {
+	p.mustSignal(t, syscall.SIGHUP)
+	for until := time.Now().Add(testTimeout); !p.logged("configuration not taken"); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("not refused: ", p.Log())
+			t.Fatal("large configuration was not refused: ", p.Log())
 		}
 	}
-	staysWithinMemory(t, p)
+	requireWithinMemory(t, p)
 }
 
-// logged tells whether the process has logged a text.
+// logged reports whether the process has logged a text.
 func (p *Process) logged(text string) bool { return strings.Contains(p.Log(), text) }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -9,8 +9,8 @@
 	"yarrowbarrow/lab/fleet/spread"
 )
 
-// play runs a small fleet and wants the rules kept.
-func play(t *testing.T, o Options) Result {
+// runSmallFleet runs a small fleet and fails the test if a rule is broken, or if an engine got no work or the run hardly any jobs.
+func runSmallFleet(t *testing.T, o Options) Result {
 	t.Helper()
 	o.Program, o.Controllers, o.Engines, o.Cores, o.PerSecond = program, 8, 3, 2, 6
 	if o.Say = t.Logf; o.Length == 0 {
@@ -24,28 +24,28 @@
 		t.Errorf("%+v", r.Audit)
 	}
 	if r.Figures.Jobs < 20 || r.Figures.Windows[1].Idlest == 0 {
-		t.Errorf("an engine without work, or hardly any: %+v", r.Figures)
+		t.Errorf("an engine without work, or hardly any jobs: %+v", r.Figures)
 	}
 	return r
 }
 
-// TestFleet: several processes, by our decisions and by chance, and with controllers that are killed, stopped and told to
-// go: each job that a live controller took has one answer, and none is at two engines at once.
+// TestFleet runs small fleets with the program's own policy and with the random one, and with controllers that are killed, stopped and
+// terminated. Each job that a live controller accepted must be answered once, and no job may be at two engines at once.
 func TestFleet(t *testing.T) {
-	play(t, Options{Seed: 1})
-	play(t, Options{Seed: 1, Policy: "random"})
-	play(t, Options{Seed: 2, Length: 5 * time.Second, Faults: []Fault{
+	runSmallFleet(t, Options{Seed: 1})
+	runSmallFleet(t, Options{Seed: 1, Policy: "random"})
+	runSmallFleet(t, Options{Seed: 2, Length: 5 * time.Second, Faults: []Fault{
 		{Name: "kill", Share: 0.5, At: time.Second},
 		{Name: "stop", Share: 0.4, At: 1500 * time.Millisecond, Duration: time.Second},
 		{Name: "hang", Share: 0.3, At: 2 * time.Second, Duration: time.Second},
 	}})
-	play(t, Options{Seed: 3, Length: 5 * time.Second, Faults: []Fault{
+	runSmallFleet(t, Options{Seed: 3, Length: 5 * time.Second, Faults: []Fault{
 		{Name: "term", Share: 0.3, At: time.Second},
 		{Name: "die", Share: 0.3, At: 1200 * time.Millisecond, Duration: time.Second},
 	}})
 }
 
-// TestAudit: what the audit calls two attempts at once.
+// TestAudit checks which spans of attempts the audit takes for two attempts at once.
 func TestAudit(t *testing.T) {
 	at := func(from, to int) [2]time.Duration {
 		return [2]time.Duration{time.Duration(from), time.Duration(to)}
@@ -57,7 +57,7 @@
 		{[][2]time.Duration{at(1, 5)}, false},
 		{[][2]time.Duration{at(6, 9), at(1, 5)}, false},
 		{[][2]time.Duration{at(1, 5), at(4, 9)}, true},
-		{[][2]time.Duration{at(1, 0), at(4, 9)}, true}, // the first never ends
+		{[][2]time.Duration{at(1, 0), at(4, 9)}, true}, // the first attempt never ends
 	} {
 		if overlap(c.spans, 0) != c.wrong {
 			t.Error(c)
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestFaults: what is written is what is read, and what is wrong is said.
+// TestFaults checks that faults are parsed and printed in the same form, and that errors say what is wrong.
 func TestFaults(t *testing.T) {
 	for _, text := range []string{"kill:0.7@5s", "stop:0.3@500ms/3s", "slow:0.125@2s/1.5s"} {
 		if f, err := ParseFault(text); err != nil || f.String() != text {
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestScript: a fault a line, and the line of what is wrong; a seed draws the same faults each time.
+// TestScript checks that scripts have one fault per line and that errors name the line, and that a seed draws the same faults each time.
 func TestScript(t *testing.T) {
 	all, err := ReadScript(strings.NewReader("# a bad day\nkill:0.7@5s\n\ncut:0.5@2s/6s # one room\n"))
 	if err != nil || len(all) != 2 || all[1].String() != "cut:0.5@2s/6s" {
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestCompare: pairs that differ by as much tell, and pairs that differ either way do not.
+// TestCompare checks that similar differences in all pairs count as significant, and differences in both directions or of a single pair do not.
 func TestCompare(t *testing.T) {
 	runs := func(inTime ...float64) (all []Result) {
 		for _, x := range inTime {
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestDays: all that is written there can be played.
+// TestDays checks that the scripts of all scenarios can be parsed, and that faults which separate rooms have at least two rooms.
 func TestDays(t *testing.T) {
 	for _, d := range Days {
 		if o, err := d.Options(Options{}); err != nil || len(o.Faults) != len(d.Script) {
@@ -128,7 +128,7 @@
 		}
 		for _, text := range d.Script {
 			if f, _ := ParseFault(text); faults[f.Name].onLinks && f.Name != "silent" && d.Rooms < 2 && faults[f.Name].target == targetRooms {
-				t.Errorf("%s: %s cuts a single room off from nothing", d.Name, text)
+				t.Errorf("%s: %s separates rooms, but there is only one", d.Name, text)
 			}
 		}
 	}
--- a/lab/fleet/half_test.go
+++ b/lab/fleet/half_test.go
@@ -10,64 +10,68 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// half is a client that sees each frame, and may send a job in two parts.
-type half struct {
+// frameClient is a client at the level of frames, which can send a job in two parts.
+type frameClient struct {
 	t    *testing.T
 	conn net.Conn
 	job  []byte
 }
 
-// newHalf connects, with a job of its own to send.
-func newHalf(t *testing.T, p *Process, number int) *half {
+// newFrameClient connects to a process and prepares a job to send.
+func newFrameClient(t *testing.T, p *Process, number int) *frameClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	payload := []byte{3}
 	for _, f := range [][2]string{{"class", "quick"}, {"id", fmt.Sprintf("ff%014x", number)}, {"wait", "10000"}} {
 		payload = frame.AppendField(payload, f[0], f[1])
 	}
 	payload = append(payload, "select 1"...)
-	return &half{t, conn, append(frame.AppendHead(nil, frame.Job, 2, len(payload)), payload...)}
+	return &frameClient{t, conn, append(frame.AppendHead(nil, frame.Job, 2, len(payload)), payload...)}
 }
 
-// greet asks whether the process is ready, and waits for the answer.
-func (h *half) greet() {
-	h.t.Helper()
-	h.write(append(frame.AppendHead(nil, frame.Ready, 1, 1), 0))
-	h.reads(frame.IsReady)
+// awaitReady asks whether the process is ready, and waits for the answer.
+func (c *frameClient) awaitReady() {
+	c.t.Helper()
+	c.write(append(frame.AppendHead(nil, frame.Ready, 1, 1), 0))
+	c.awaitFrame(frame.IsReady)
 }
 
-// begin sends the first part, and gives the process time to read it: what it reads whole is the easier case.
-func (h *half) begin() {
-	h.write(h.job[:20])
+// sendFirstPart sends the first part of the job and gives the process time to read it. A job that the process reads at once would be the
+// easier case.
+func (c *frameClient) sendFirstPart() {
+	c.write(c.job[:20])
 	time.Sleep(50 * time.Millisecond)
 }
 
-func (h *half) write(data []byte) {
-	h.t.Helper()
-	if _, err := h.conn.Write(data); err != nil {
-		h.t.Fatal(err)
+func (c *frameClient) write(data []byte) {
+	c.t.Helper()
+	if _, err := c.conn.Write(data); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-func (h *half) whole() { h.write(h.job) }
-func (h *half) rest()  { h.write(h.job[20:]) }
+// sendJob sends the whole job.
+func (c *frameClient) sendJob() { c.write(c.job) }
 
-// reads passes over frames until one of a kind.
-func (h *half) reads(kind byte) (payload []byte) {
-	h.t.Helper()
+// sendRest sends what sendFirstPart left.
+func (c *frameClient) sendRest() { c.write(c.job[20:]) }
+
+// awaitFrame reads frames until one of a kind and returns its payload.
+func (c *frameClient) awaitFrame(kind byte) (payload []byte) {
+	c.t.Helper()
 	for {
 		head := make([]byte, frame.HeadSize)
-		if _, err := io.ReadFull(h.conn, head); err != nil {
-			h.t.Fatal("no answer: ", err)
+		if _, err := io.ReadFull(c.conn, head); err != nil {
+			c.t.Fatal("no answer: ", err)
 		}
 		payload = make([]byte, int(head[2])<<8+int(head[3])-frame.MinLength)
-		if _, err := io.ReadFull(h.conn, payload); err != nil {
-			h.t.Fatal(err)
+		if _, err := io.ReadFull(c.conn, payload); err != nil {
+			c.t.Fatal(err)
 		}
 		if head[4] == kind {
 			return payload
@@ -75,9 +79,10 @@
 	}
 }
 
-func (h *half) answered() {
-	h.t.Helper()
-	if payload := h.reads(frame.Answer); payload[0] != frame.Done && payload[0] != frame.Rejected {
-		h.t.Error("code ", payload[0], string(payload))
+// expectAnswer waits for the answer to the job: done or rejected.
+func (c *frameClient) expectAnswer() {
+	c.t.Helper()
+	if payload := c.awaitFrame(frame.Answer); payload[0] != frame.Done && payload[0] != frame.Rejected {
+		c.t.Error("code ", payload[0], string(payload))
 	}
 }
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -28,7 +28,7 @@
 	Incarnation int64         `json:"life"`
 	Status      string        `json:"status"`
 	Age         time.Duration `json:"age_ns"`
-	HearsUs    time.Duration `json:"hears_us_ns"`
+	HearsUs     time.Duration `json:"hears_us_ns"`
 }
 
 // FleetView is what an instance reports of its fleet on its status socket.
--- a/lab/fleet/members_test.go
+++ b/lab/fleet/members_test.go
@@ -13,84 +13,88 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
-// quick is a period between probes that has a test over in seconds; waits follow it.
-const quick = 200 * time.Millisecond
+// probePeriod is the period between probes. It is short so that tests take seconds; waits are multiples of it.
+const probePeriod = 200 * time.Millisecond
 
-func talkers(t *testing.T, many int) *MemberGroup {
+// startMembers starts a group and waits until all its members report each other alive.
+func startMembers(t *testing.T, count int) *MemberGroup {
 	t.Helper()
-	all, err := StartMembers(program, many, quick, 1)
+	group, err := StartMembers(program, count, probePeriod, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, p := range all.Processes {
+			for _, p := range group.Processes {
 				t.Log(p.Log())
 			}
 		}
-		all.Close()
+		group.Close()
 	})
-	all.await(t, numbers(0, many), numbers(0, many), "alive")
-	return all
+	group.mustAwaitStatus(t, memberRange(0, count), memberRange(0, count), "alive")
+	return group
 }
 
-func numbers(from, to int) (all []int) {
+// memberRange returns the members from one number up to another, which is excluded.
+func memberRange(from, to int) (all []int) {
 	for n := from; n < to; n++ {
 		all = append(all, n)
 	}
 	return all
 }
 
-func (t *MemberGroup) await(tt *testing.T, by, of []int, want string) time.Duration {
-	tt.Helper()
-	took, err := t.AwaitStatus(patience, by, of, want)
+// mustAwaitStatus waits until all observers report a status for all subjects, and returns how long that took.
+func (g *MemberGroup) mustAwaitStatus(test *testing.T, observers, subjects []int, status string) time.Duration {
+	test.Helper()
+	took, err := g.AwaitStatus(testTimeout, observers, subjects, status)
 	if err != nil {
-		tt.Fatalf("%v hold %v: %v", by, of, err)
+		test.Fatalf("%v about %v: %v", observers, subjects, err)
 	}
 	return took
 }
 
-// contact waits until all of a part say of themselves what they should.
-func (t *MemberGroup) contact(tt *testing.T, of []int, want string) {
-	tt.Helper()
+// mustAwaitContact waits until all given members report a contact state of their own.
+func (g *MemberGroup) mustAwaitContact(test *testing.T, members []int, want string) {
+	test.Helper()
 	for from := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		views := t.Views(of)
+		views := g.Views(members)
 		if !slices.ContainsFunc(views, func(s FleetView) bool { return s.Contact != want }) {
 			return
 		}
-		if time.Since(from) > patience {
-			tt.Fatalf("%v are not all %s: %+v", of, want, views)
+		if time.Since(from) > testTimeout {
+			test.Fatalf("%v do not all report %s: %+v", members, want, views)
 		}
 	}
 }
 
-// TestMembers: five processes find each other over UDP, one is killed and the four say so; it comes back as a new life.
+// TestMembers checks that five processes discover each other over UDP, that the others report one that is killed as gone, that it comes back
+// with a higher incarnation number, and that one that exits is reported as having left.
 func TestMembers(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 5)
+	group := startMembers(t, 5)
 	others := []int{0, 1, 2, 4}
-	before := all.Views([]int{0})[0].Member(MemberName(3)).Incarnation
-	all.Processes[3].Kill()
-	t.Log("known to be gone after", all.await(t, others, []int{3}, "gone"))
-	if count := all.CountStatuses(others, others); count["alive"] != 12 {
-		t.Error("others are accused: ", count)
+	before := group.Views([]int{0})[0].Member(MemberName(3)).Incarnation
+	group.Processes[3].Kill()
+	t.Log("reported gone after", group.mustAwaitStatus(t, others, []int{3}, "gone"))
+	if count := group.CountStatuses(others, others); count["alive"] != 12 {
+		t.Error("members that are alive are not all reported alive: ", count)
 	}
-	if err := all.Processes[3].Start(patience); err != nil {
+	if err := group.Processes[3].Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	t.Log("back after", all.await(t, numbers(0, 5), numbers(0, 5), "alive"))
-	if now := all.Views([]int{0})[0].Member(MemberName(3)).Incarnation; now <= before {
-		t.Errorf("life %d after %d", now, before)
+	t.Log("back after", group.mustAwaitStatus(t, memberRange(0, 5), memberRange(0, 5), "alive"))
+	if now := group.Views([]int{0})[0].Member(MemberName(3)).Incarnation; now <= before {
+		t.Errorf("incarnation %d after %d", now, before)
 	}
-	_ = all.Processes[2].Signal(syscall.SIGTERM)
-	all.await(t, []int{0, 1, 3, 4}, []int{2}, "left")
+	_ = group.Processes[2].Signal(syscall.SIGTERM)
+	group.mustAwaitStatus(t, []int{0, 1, 3, 4}, []int{2}, "left")
 }
 
-// TestMembersCount: jobs that are open at two of four instances, at an engine that answers none, are counted by all, and
-// those of one that is killed no longer.
+// TestMembersCount checks that all four instances count the jobs that are open at two of them, and no longer count those of an instance that
+// is killed. The jobs stay open because the engine answers none.
 func TestMembersCount(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 4)
+	group := startMembers(t, 4)
 	address, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
@@ -101,10 +105,10 @@
 	}
 	defer e.Die()
 	e.Hang(true)
-	all.discovery.Tell(true, discovery.Host{Host: "e", Dial: address, Site: "room-0", Class: "std", Health: "active"})
-	time.Sleep(2 * time.Second) // until all have called for the list again
+	group.discovery.Tell(true, discovery.Host{Host: "e", Dial: address, Site: "room-0", Class: "std", Health: "active"})
+	time.Sleep(2 * time.Second) // until all have fetched the list again
 	for n, jobs := range []int{2, 2} {
-		c, err := load.Dial(all.Processes[n].Listen)
+		c, err := load.Dial(group.Processes[n].Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,33 +120,33 @@
 			}
 		}
 	}
-	counts := func(of []int, want, instances int) {
+	awaitOpenJobs := func(members []int, want, instances int) {
 		t.Helper()
 		for from := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-			views := all.Views(of)
+			views := group.Views(members)
 			if !slices.ContainsFunc(views, func(s FleetView) bool {
 				return s.Open.AtLeast != want || s.Open.Instances != instances || s.Open.Unknown > 0
 			}) {
 				return
 			}
-			if time.Since(from) > patience {
-				t.Fatalf("wanted %d of %d: %+v", want, instances, views)
+			if time.Since(from) > testTimeout {
+				t.Fatalf("wanted %d open jobs from %d instances: %+v", want, instances, views)
 			}
 		}
 	}
-	counts(numbers(0, 4), 4, 4)
-	all.Processes[1].Kill()
-	counts([]int{0, 2, 3}, 2, 3)
+	awaitOpenJobs(memberRange(0, 4), 4, 4)
+	group.Processes[1].Kill()
+	awaitOpenJobs([]int{0, 2, 3}, 2, 3)
 }
 
-// TestMembersSplit: two sides that don't hear each other hold the other for gone and nobody of their own, the lone one says
-// that it is deaf and holds nobody for gone; all heal by themselves.
+// TestMembersSplit partitions a group into two sides and one isolated member. Each side must report the others gone and its own members
+// alive. The isolated one must report itself deaf and no one gone. After the partition all must recover by themselves.
 func TestMembersSplit(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 8)
-	left, right, lone := numbers(0, 4), numbers(4, 7), []int{7}
+	group := startMembers(t, 8)
+	left, right, isolated := memberRange(0, 4), memberRange(4, 7), []int{7}
 	side := func(name string) int {
-		for n, s := range [][]int{left, right, lone} {
+		for n, s := range [][]int{left, right, isolated} {
 			for _, i := range s {
 				if MemberName(i) == name {
 					return n
@@ -151,72 +155,73 @@
 		}
 		return -1
 	}
-	all.Mesh.SetLinks(func(from, to string) relay.Link { return relay.Link{Silent: side(from) != side(to)} })
-	all.await(t, left, slices.Concat(right, lone), "gone")
-	all.await(t, right, slices.Concat(left, lone), "gone")
-	all.contact(t, lone, "deaf")
-	all.contact(t, slices.Concat(left, right), "partly")
+	group.Mesh.SetLinks(func(from, to string) relay.Link { return relay.Link{Silent: side(from) != side(to)} })
+	group.mustAwaitStatus(t, left, slices.Concat(right, isolated), "gone")
+	group.mustAwaitStatus(t, right, slices.Concat(left, isolated), "gone")
+	group.mustAwaitContact(t, isolated, "deaf")
+	group.mustAwaitContact(t, slices.Concat(left, right), "partly")
 	for _, s := range [][]int{left, right} {
-		if count := all.CountStatuses(s, s); len(count) != 1 || count["alive"] == 0 {
-			t.Errorf("%v hold of their own side: %v", s, count)
+		if count := group.CountStatuses(s, s); len(count) != 1 || count["alive"] == 0 {
+			t.Errorf("%v report about their own side: %v", s, count)
 		}
 	}
-	if count := all.CountStatuses(lone, numbers(0, 7)); count["gone"] > 0 {
-		t.Error("the lone one holds for gone: ", count)
+	if count := group.CountStatuses(isolated, memberRange(0, 7)); count["gone"] > 0 {
+		t.Error("the isolated member reports others gone: ", count)
 	}
-	all.Mesh.Heal()
-	t.Log("healed after", all.await(t, numbers(0, 8), numbers(0, 8), "alive"))
-	all.contact(t, numbers(0, 8), "connected")
+	group.Mesh.Heal()
+	t.Log("healed after", group.mustAwaitStatus(t, memberRange(0, 8), memberRange(0, 8), "alive"))
+	group.mustAwaitContact(t, memberRange(0, 8), "connected")
 }
 
-// TestMembersOneWay: one that is not heard says that it is mute, and accuses nobody; the others miss it.
+// TestMembersOneWay checks that a member whose datagrams are lost reports itself mute and no one gone, and that the others report it gone.
 func TestMembersOneWay(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 5)
-	all.Mesh.SetLinks(func(from, _ string) relay.Link { return relay.Link{Silent: from == MemberName(4)} })
-	all.contact(t, []int{4}, "mute")
-	all.await(t, numbers(0, 4), []int{4}, "gone")
-	if count := all.CountStatuses([]int{4}, numbers(0, 4)); count["gone"] > 0 {
-		t.Error("the one that is not heard holds for gone: ", count)
-	}
-	all.Mesh.Heal()
-	all.await(t, numbers(0, 5), numbers(0, 5), "alive")
+	group := startMembers(t, 5)
+	group.Mesh.SetLinks(func(from, _ string) relay.Link { return relay.Link{Silent: from == MemberName(4)} })
+	group.mustAwaitContact(t, []int{4}, "mute")
+	group.mustAwaitStatus(t, memberRange(0, 4), []int{4}, "gone")
+	if count := group.CountStatuses([]int{4}, memberRange(0, 4)); count["gone"] > 0 {
+		t.Error("the mute member reports others gone: ", count)
+	}
+	group.Mesh.Heal()
+	group.mustAwaitStatus(t, memberRange(0, 5), memberRange(0, 5), "alive")
 }
 
-// TestMembersStopped: one that stood still accuses nobody when it goes on, and its words of others are as old as they are.
+// TestMembersStopped guards against a member that reports others suspect or gone when it resumes after a stop, because it heard nothing from
+// them meanwhile.
 func TestMembersStopped(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 5)
-	_ = all.Processes[1].Signal(syscall.SIGSTOP)
-	all.await(t, []int{0, 2, 3, 4}, []int{1}, "gone")
-	_ = all.Processes[1].Signal(syscall.SIGCONT)
-	for until := time.Now().Add(20 * quick); time.Now().Before(until); time.Sleep(quick / 4) {
-		if count := all.CountStatuses([]int{1}, []int{0, 2, 3, 4}); count["gone"]+count["suspect"] > 0 {
-			t.Fatal("it accuses: ", count)
+	group := startMembers(t, 5)
+	_ = group.Processes[1].Signal(syscall.SIGSTOP)
+	group.mustAwaitStatus(t, []int{0, 2, 3, 4}, []int{1}, "gone")
+	_ = group.Processes[1].Signal(syscall.SIGCONT)
+	for until := time.Now().Add(20 * probePeriod); time.Now().Before(until); time.Sleep(probePeriod / 4) {
+		if count := group.CountStatuses([]int{1}, []int{0, 2, 3, 4}); count["gone"]+count["suspect"] > 0 {
+			t.Fatal("the resumed member reports others suspect or gone: ", count)
 		}
 	}
-	all.await(t, numbers(0, 5), numbers(0, 5), "alive")
+	group.mustAwaitStatus(t, memberRange(0, 5), memberRange(0, 5), "alive")
 }
 
-// TestMembersBad: three in ten datagrams lost, some doubled and late: nobody is held for gone, by anybody, for seconds.
+// TestMembersBad checks that no member is reported gone for seconds while 30% of datagrams are lost and some are duplicated or delayed.
 func TestMembersBad(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 8)
-	all.Mesh.SetLinks(func(_, _ string) relay.Link {
-		return relay.Link{Loss: 0.3, Duplicate: 0.1, Jitter: quick / 2}
+	group := startMembers(t, 8)
+	group.Mesh.SetLinks(func(_, _ string) relay.Link {
+		return relay.Link{Loss: 0.3, Duplicate: 0.1, Jitter: probePeriod / 2}
 	})
-	for until := time.Now().Add(40 * quick); time.Now().Before(until); time.Sleep(quick) {
-		if count := all.CountStatuses(numbers(0, 8), numbers(0, 8)); count["gone"] > 0 {
+	for until := time.Now().Add(40 * probePeriod); time.Now().Before(until); time.Sleep(probePeriod) {
+		if count := group.CountStatuses(memberRange(0, 8), memberRange(0, 8)); count["gone"] > 0 {
 			t.Fatal(count)
 		}
 	}
 }
 
-// TestMembersKey: one with another key is no member.
+// TestMembersKey checks that an instance that was started as a group of its own does not become a member.
 func TestMembersKey(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 3)
-	stranger, err := StartMembers(program, 1, quick, 2)
+	group := startMembers(t, 3)
+	stranger, err := StartMembers(program, 1, probePeriod, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,24 +229,24 @@
 	if s, err := stranger.View(0); err != nil || s.Contact != "alone" {
 		t.Error(s, err)
 	}
-	if s, err := all.View(0); err != nil || len(s.Members) != 2 {
+	if s, err := group.View(0); err != nil || len(s.Members) != 2 {
 		t.Error(s, err)
 	}
 }
 
-// TestMembersStarved: one that runs a twentieth of the time accuses nobody of being gone, and is not held for gone.
+// TestMembersStarved checks that a member which runs only a twentieth of the time neither reports others gone nor is reported gone.
 func TestMembersStarved(t *testing.T) {
 	t.Parallel()
-	all := talkers(t, 5)
-	p, over := all.Processes[2], time.Now().Add(40*quick)
-	for time.Now().Before(over) {
+	group := startMembers(t, 5)
+	p, deadline := group.Processes[2], time.Now().Add(40*probePeriod)
+	for time.Now().Before(deadline) {
 		_ = p.Signal(syscall.SIGSTOP)
 		time.Sleep(95 * time.Millisecond)
 		_ = p.Signal(syscall.SIGCONT)
 		time.Sleep(5 * time.Millisecond)
-		if count := all.CountStatuses([]int{0, 1, 3, 4}, numbers(0, 5)); count["gone"] > 0 {
+		if count := group.CountStatuses([]int{0, 1, 3, 4}, memberRange(0, 5)); count["gone"] > 0 {
 			t.Fatal(count)
 		}
 	}
-	all.await(t, numbers(0, 5), numbers(0, 5), "alive")
+	group.mustAwaitStatus(t, memberRange(0, 5), memberRange(0, 5), "alive")
 }
--- a/lab/fleet/memory_test.go
+++ b/lab/fleet/memory_test.go
@@ -13,36 +13,36 @@
 	"yarrowbarrow/lab/standin/discovery"
 )
 
-// floodedMB is the limit of a process that floods come to: the least that the configuration allows, and the most of the scored days.
-var floodedMB = []int64{32, 192}
+// floodLimitsMB are the memory limits of flooded processes: the lowest that the configuration allows, and the highest of the scored scenarios.
+var floodLimitsMB = []int64{32, 192}
 
-// underFloods plays each flood against a process of its own at each limit, which stays within that and goes on serving.
-func underFloods(t *testing.T, floods []flood.Flood, play func(*testing.T, flood.Flood, Limits) *Process) {
+// testFloods runs each flood against a process of its own at each limit. The process must stay within the limit and go on serving.
+func testFloods(t *testing.T, floods []flood.Flood, start func(*testing.T, flood.Flood, Limits) *Process) {
 	t.Helper()
-	for _, limit := range floodedMB {
+	for _, limit := range floodLimitsMB {
 		for _, f := range floods {
 			t.Run(fmt.Sprint(f.Name, " at ", limit, " MB"), func(t *testing.T) {
-				staysWithinMemory(t, play(t, f, Limits{Cores: 1, MemoryMB: limit, Sockets: 256}))
+				requireWithinMemory(t, start(t, f, Limits{Cores: 1, MemoryMB: limit, Sockets: 256}))
 			})
 		}
 	}
 }
 
-// begins starts a process with limits.
-func begins(t *testing.T, p *Process, limits Limits) *Process {
+// startWithLimits starts a process with resource limits.
+func startWithLimits(t *testing.T, p *Process, limits Limits) *Process {
 	t.Helper()
 	p.Limits = limits
-	if err := p.Start(patience); err != nil {
+	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// TestMemoryLimitUnderClientFloods: clients that send at full speed, or read nothing, don't have the process pass its limit.
+// TestMemoryLimitUnderClientFloods guards against a process that exceeds its memory limit because clients send at full speed or read nothing.
 func TestMemoryLimitUnderClientFloods(t *testing.T) {
-	underFloods(t, flood.Clients("quick"), func(t *testing.T, f flood.Flood, limits Limits) *Process {
-		p, _, _ := between(t, limits.Sockets, shortSettings, 1)
-		begins(t, p, limits)
+	testFloods(t, flood.Clients("quick"), func(t *testing.T, f flood.Flood, limits Limits) *Process {
+		p, _, _ := newProcessWithFakes(t, limits.Sockets, shortSettings, 1)
+		startWithLimits(t, p, limits)
 		var floods sync.WaitGroup
 		for range 16 {
 			floods.Add(1)
@@ -56,35 +56,35 @@
 	})
 }
 
-// TestMemoryLimitUnderEngineFloods: the same by engines that a request has come to.
+// TestMemoryLimitUnderEngineFloods is the same for engines that answer a request with a flood.
 func TestMemoryLimitUnderEngineFloods(t *testing.T) {
-	underFloods(t, flood.Engines(), func(t *testing.T, f flood.Flood, limits Limits) *Process {
-		p, list, _ := between(t, limits.Sockets, shortSettings, 0)
-		list.Tell(true, discovery.Host{Host: "e0", Dial: flooding(t, f), Site: "east", Class: "std", Health: "active"})
+	testFloods(t, flood.Engines(), func(t *testing.T, f flood.Flood, limits Limits) *Process {
+		p, list, _ := newProcessWithFakes(t, limits.Sockets, shortSettings, 0)
+		list.Tell(true, discovery.Host{Host: "e0", Dial: startFloodingPeer(t, f), Site: "east", Class: "std", Health: "active"})
 		p.Known = list.Since(0)
-		begins(t, p, limits)
-		g := newGuest(t, p, 1)
+		startWithLimits(t, p, limits)
+		g := newTestClient(t, p, 1)
 		for range 16 {
-			g.tries()
+			g.sendIgnoringResult()
 		}
-		_ = g.answered()
+		_ = g.awaitAnswers()
 		return p
 	})
 }
 
-// TestMemoryLimitUnderDiscoveryFloods: the same by discovery.
+// TestMemoryLimitUnderDiscoveryFloods is the same for floods from discovery.
 func TestMemoryLimitUnderDiscoveryFloods(t *testing.T) {
-	underFloods(t, flood.Discoveries(), func(t *testing.T, f flood.Flood, limits Limits) *Process {
-		p, _, _ := between(t, limits.Sockets, shortSettings, 1)
-		p.Discovery = flooding(t, f)
-		begins(t, p, limits)
+	testFloods(t, flood.Discoveries(), func(t *testing.T, f flood.Flood, limits Limits) *Process {
+		p, _, _ := newProcessWithFakes(t, limits.Sockets, shortSettings, 1)
+		p.Discovery = startFloodingPeer(t, f)
+		startWithLimits(t, p, limits)
 		time.Sleep(time.Second)
 		return p
 	})
 }
 
-// flooding is the address of a peer that answers what it reads first with a flood.
-func flooding(t *testing.T, f flood.Flood) string {
+// startFloodingPeer starts a peer that answers the first byte on a connection with a flood, and returns its address.
+func startFloodingPeer(t *testing.T, f flood.Flood) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -104,36 +104,36 @@
 	return ln.Addr().String()
 }
 
-// tries asks for a job, whatever comes of it.
-func (g *guest) tries() {
+// sendIgnoringResult sends a job whose outcome does not matter.
+func (g *testClient) sendIgnoringResult() {
 	g.t.Helper()
-	g.open.Add(1)
+	g.pending.Add(1)
 	g.sent++
-	err := g.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", g.name, g.sent), Wait: time.Second, Statement: "select 1"},
-		func(load.Answer, error) { g.open.Done() })
+	err := g.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", g.number, g.sent), Wait: time.Second, Statement: "select 1"},
+		func(load.Answer, error) { g.pending.Done() })
 	if err != nil {
 		g.t.Fatal(err)
 	}
 }
 
-// lives fails for a process that has ended.
-func lives(t *testing.T, p *Process) {
+// requireRunning fails the test if the process has ended.
+func requireRunning(t *testing.T, p *Process) {
 	t.Helper()
 	select {
 	case <-p.Ended():
-		t.Fatal("it has ended: ", p.Err(), "\n", p.Log())
+		t.Fatal("the process has ended: ", p.Err(), "\n", p.Log())
 	default:
 	}
 }
 
-// staysWithinMemory tells whether a process lives, answers a new client, and never had more than its limit.
-func staysWithinMemory(t *testing.T, p *Process) {
+// requireWithinMemory fails the test unless the process runs, accepts a job of a new client, and never exceeded its memory limit.
+func requireWithinMemory(t *testing.T, p *Process) {
 	t.Helper()
-	lives(t, p)
-	g := newGuest(t, p, 2)
-	g.tries()
-	_ = g.answered()
-	lives(t, p)
+	requireRunning(t, p)
+	g := newTestClient(t, p, 2)
+	g.sendIgnoringResult()
+	_ = g.awaitAnswers()
+	requireRunning(t, p)
 	peak := p.PeakMB()
 	t.Logf("peak memory %.1f MB", peak)
 	if peak > float64(p.Limits.MemoryMB) {
@@ -141,11 +141,11 @@
 	}
 }
 
-// TestStalledClientEndsProcess: a client that reads none of its answers for longer than a write may take ends its connection, not the
-// process.
+// TestStalledClientEndsProcess guards against a process that ends when a client reads none of its answers for longer than a write may take.
+// Only that client's connection may end.
 func TestStalledClientEndsProcess(t *testing.T) {
 	t.Parallel()
-	p := alone(t, 256)
+	p := startAlone(t, 256)
 	var floods sync.WaitGroup
 	for _, f := range flood.Clients("quick") {
 		if f.Unread {
@@ -158,10 +158,10 @@
 		}
 	}
 	floods.Wait()
-	lives(t, p)
-	g := newGuest(t, p, 2)
-	g.ask()
-	if err := g.answered(); err != nil {
+	requireRunning(t, p)
+	g := newTestClient(t, p, 2)
+	g.sendJob()
+	if err := g.awaitAnswers(); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/fleet/process_test.go
+++ b/lab/fleet/process_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// TestTornWhileStarting: a process that is being started finds a whole configuration; later ones may be torn.
+// TestTornWhileStarting checks that the configuration is never truncated while a process is starting, which would make it exit, and that it
+// may be afterwards.
 func TestTornWhileStarting(t *testing.T) {
 	folder := t.TempDir()
 	p := NewProcess(program, folder, Setup{Name: "n000"})
-	whole := func() bool {
+	writesValidConfig := func() bool {
 		p.reconfigure("127.0.0.1:1", true)
 		raw, err := os.ReadFile(filepath.Join(folder, "n000.json"))
 		if err != nil {
@@ -21,16 +22,16 @@
 		return json.Valid(raw)
 	}
 	p.setStarting(true)
-	if !whole() {
-		t.Error("torn while it is being started")
+	if !writesValidConfig() {
+		t.Error("truncated while the process is starting")
 	}
 	p.setStarting(false)
-	if whole() {
-		t.Error("not torn")
+	if writesValidConfig() {
+		t.Error("not truncated after the start")
 	}
 }
 
-// TestRigDelay: what the rig lost between two times is told, in part where a span is in part between them.
+// TestRigDelay checks the stalled time between two times, also where a stall lies only partly between them.
 func TestRigDelay(t *testing.T) {
 	const ms = time.Millisecond
 	d := stallLog{stalls: []stall{{10 * ms, 20 * ms}, {30 * ms, 60 * ms}, {70 * ms, 80 * ms}}}
--- a/lab/fleet/relay/relay_test.go
+++ b/lab/fleet/relay/relay_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// patience is long on the slowest machine; short is enough to tell that nothing comes.
-const patience, short = 20 * time.Second, 150 * time.Millisecond
+// testTimeout bounds waits and is long enough for the slowest machine; quietPeriod is how long a test waits to see that nothing arrives.
+const testTimeout, quietPeriod = 20 * time.Second, 150 * time.Millisecond
 
-// echo is a server that says back what it hears.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends back what it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 	return ln.Addr().String()
 }
 
-func start(t *testing.T, to string) *Relay {
+func startRelay(t *testing.T, to string) *Relay {
 	t.Helper()
 	r, err := Start("127.0.0.1:0", to, 1)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return r
 }
 
-func dial(t *testing.T, r *Relay) net.Conn {
+func dialRelay(t *testing.T, r *Relay) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Address())
 	if err != nil {
@@ -49,99 +49,100 @@
 	return conn
 }
 
-func says(t *testing.T, conn net.Conn, text string) {
+func send(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := conn.Write([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// hears wants a text, or nothing at all.
-func hears(t *testing.T, conn net.Conn, text string) {
+// expect reads a text, or checks that nothing arrives if it is empty.
+func expect(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	wait := patience
+	wait := testTimeout
 	if text == "" {
-		wait = short
+		wait = quietPeriod
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(wait))
 	buf := make([]byte, max(len(text), 1))
 	n, err := io.ReadFull(conn, buf)
 	if string(buf[:n]) != text || err != nil && text != "" {
-		t.Fatalf("heard %q, %v, wanted %q", buf[:n], err, text)
+		t.Fatalf("received %q, %v, wanted %q", buf[:n], err, text)
 	}
 }
 
-// TestSilence: one way, both ways, and what was sent comes when it is over, once and whole.
+// TestSilence checks that nothing passes a link that is silent in either direction or both, and that data sent meanwhile arrives afterwards,
+// complete and once.
 func TestSilence(t *testing.T) {
-	r := start(t, echo(t))
-	conn := dial(t, r)
-	says(t, conn, "before ")
-	hears(t, conn, "before ")
+	r := startRelay(t, startEchoServer(t))
+	conn := dialRelay(t, r)
+	send(t, conn, "before ")
+	expect(t, conn, "before ")
 	for _, silent := range [][2]bool{{true, false}, {false, true}, {true, true}} {
 		r.SetImpairment(Impairment{Silent: silent})
-		says(t, conn, "held ")
-		hears(t, conn, "")
-		if late, err := net.DialTimeout("tcp", r.Address(), short); err == nil {
+		send(t, conn, "held ")
+		expect(t, conn, "")
+		if late, err := net.DialTimeout("tcp", r.Address(), quietPeriod); err == nil {
 			late.Close()
-			t.Errorf("%v: a connection comes up", silent)
+			t.Errorf("%v: a connection was established", silent)
 		}
 		r.SetImpairment(Impairment{})
-		hears(t, conn, "held ")
+		expect(t, conn, "held ")
 	}
-	again := dial(t, r)
-	says(t, again, "after")
-	hears(t, again, "after")
-	if r.Connections() > 5 { // ours, and at most those three that gave up: the system may still pass on their first packet
+	again := dialRelay(t, r)
+	send(t, again, "after")
+	expect(t, again, "after")
+	if r.Connections() > 5 { // two of the test, and at most the three dials that timed out: the kernel may still deliver their SYNs
 		t.Error(r.Connections(), "connections")
 	}
 }
 
-// TestDeafWhileAccepting: silence comes while a connection is being accepted. The queue is filled only after that, as the
-// filler would be accepted too, and its place be free for others.
+// TestDeafWhileAccepting checks that the backlog is filled only after an Accept call in progress has returned when a link becomes silent.
+// Otherwise the filler would be accepted, and its place in the backlog would be free for others.
 func TestDeafWhileAccepting(t *testing.T) {
-	r := start(t, echo(t))
-	under := func(f func() bool) (held bool) {
+	r := startRelay(t, startEchoServer(t))
+	locked := func(f func() bool) (held bool) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return f()
 	}
-	under(func() bool { r.accepting++; return true })
-	set := make(chan bool)
-	go func() { r.SetImpairment(Impairment{Silent: [2]bool{true, false}}); close(set) }()
-	for late := time.Now().Add(patience); !under(func() bool { return r.impairment.blocksConnect() }) && time.Now().Before(late); {
+	locked(func() bool { r.accepting++; return true })
+	impaired := make(chan bool)
+	go func() { r.SetImpairment(Impairment{Silent: [2]bool{true, false}}); close(impaired) }()
+	for deadline := time.Now().Add(testTimeout); !locked(func() bool { return r.impairment.blocksConnect() }) && time.Now().Before(deadline); {
 	}
-	if under(func() bool { return len(r.fillers) > 0 }) {
-		t.Error("filled while an accept is under way")
+	if locked(func() bool { return len(r.fillers) > 0 }) {
+		t.Error("backlog filled while an Accept call is in progress")
 	}
-	under(func() bool { r.accepting--; r.acceptDone.Broadcast(); return true })
-	<-set
-	if !under(func() bool { return len(r.fillers) == 1 }) {
-		t.Error("not filled")
+	locked(func() bool { r.accepting--; r.acceptDone.Broadcast(); return true })
+	<-impaired
+	if !locked(func() bool { return len(r.fillers) == 1 }) {
+		t.Error("backlog not filled")
 	}
 }
 
 func TestDelay(t *testing.T) {
-	r := start(t, echo(t))
-	conn := dial(t, r)
+	r := startRelay(t, startEchoServer(t))
+	conn := dialRelay(t, r)
 	r.SetImpairment(Impairment{Delay: 50 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	from := time.Now()
 	for range 5 {
-		says(t, conn, "in order ")
+		send(t, conn, "in order ")
 	}
-	hears(t, conn, "in order in order in order in order in order ")
+	expect(t, conn, "in order in order in order in order in order ")
 	if took := time.Since(from); took < 100*time.Millisecond {
-		t.Error("two ways took ", took)
+		t.Error("both directions together took ", took)
 	}
 }
 
-// TestReset: a connection ends in the middle of what is said, and others at other places.
+// TestReset checks that connections are reset before all data has passed.
 func TestReset(t *testing.T) {
-	r := start(t, echo(t))
+	r := startRelay(t, startEchoServer(t))
 	r.SetImpairment(Impairment{MeanBytesToReset: 100})
 	for range 5 {
-		conn := dial(t, r)
+		conn := dialRelay(t, r)
 		_, _ = conn.Write(bytes.Repeat([]byte("x"), 5000))
-		_ = conn.SetReadDeadline(time.Now().Add(patience))
+		_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if back, err := io.ReadAll(conn); !errors.Is(err, syscall.ECONNRESET) || len(back) == 5000 {
 			t.Error("no reset: ", len(back), err)
 		}
@@ -149,14 +150,14 @@
 }
 
 func TestRefuse(t *testing.T) {
-	r := start(t, echo(t))
-	conn := dial(t, r)
-	says(t, conn, "x")
-	hears(t, conn, "x")
+	r := startRelay(t, startEchoServer(t))
+	conn := dialRelay(t, r)
+	send(t, conn, "x")
+	expect(t, conn, "x")
 	if err := r.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Error("not reset: ", err)
 	}
@@ -166,19 +167,19 @@
 	if err := r.SetRefusing(false); err != nil {
 		t.Fatal(err)
 	}
-	again := dial(t, r)
-	says(t, again, "y")
-	hears(t, again, "y")
+	again := dialRelay(t, r)
+	send(t, again, "y")
+	expect(t, again, "y")
 }
 
 func TestBandwidth(t *testing.T) {
-	r := start(t, echo(t))
+	r := startRelay(t, startEchoServer(t))
 	r.SetImpairment(Impairment{BytesPerSecond: 20_000})
-	conn := dial(t, r)
+	conn := dialRelay(t, r)
 	from := time.Now()
-	says(t, conn, string(bytes.Repeat([]byte("x"), 4000)))
-	hears(t, conn, string(bytes.Repeat([]byte("x"), 4000)))
+	send(t, conn, string(bytes.Repeat([]byte("x"), 4000)))
+	expect(t, conn, string(bytes.Repeat([]byte("x"), 4000)))
 	if took := time.Since(from); took < 200*time.Millisecond {
-		t.Error("took ", took)
+		t.Error("transfer took ", took)
 	}
 }
--- a/lab/fleet/rules_test.go
+++ b/lab/fleet/rules_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestBrokenRules: the same run with the guard of one rule taken out breaks that rule by the audit's count, and with all
-// guards in it breaks none. Each rule has the faults that bring it into play.
+// TestBrokenRules checks that the audit detects violations. For each rule, a run of a variant that does not enforce it must violate it, and
+// the same run of the program must violate none. Each run has the faults that make the rule matter.
 func TestBrokenRules(t *testing.T) {
 	for _, c := range []struct {
 		policy string
@@ -15,8 +15,8 @@
 		change func(*Options)
 	}{
 		{"without-rule-1", func(a Audit) int { return a.Lost }, func(o *Options) { o.PerSecond = 40 }},
-		// Repeats are rationed by rule 7: a fifth of the jobs that engines did not refuse as faulty, so that engines fail only after
-		// six seconds of service. One repeat in seventeen is of a job that must not run twice, a dozen in all.
+		// Rule 7 limits repeats to a fifth of the jobs that engines did not refuse as faulty, so engines fail only after six seconds of
+		// service. One repeat in seventeen is of a job that must not run twice, about a dozen in all.
 		{"without-rule-2", func(a Audit) int { return a.Repeated }, func(o *Options) {
 			o.PerSecond, o.Length, o.Engines = 100, 8*time.Second, 8
 			o.Faults = []Fault{{Name: "fail", Share: 1, At: 6 * time.Second, Duration: 2 * time.Second}}
@@ -25,11 +25,11 @@
 			o.Length = 5 * time.Second
 			o.Faults = []Fault{{Name: "replace", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
-		{"random", func(a Audit) int { return a.Felled }, func(o *Options) { // rule 4: ours without its guard still has its limits
+		{"random", func(a Audit) int { return a.Felled }, func(o *Options) { // rule 4: the program without it still limits the load of cold engines, so the random policy is used
 			o.Length, o.PerSecond = 4*time.Second, 60
 			o.Faults = []Fault{{Name: "lose", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
-		// One job in seventeen is bound to a room.
+		// One job in seventeen must run in a certain room.
 		{"without-rule-6", func(a Audit) int { return a.Strayed }, func(o *Options) { o.PerSecond = 30 }},
 		{"without-rule-7", func(a Audit) int { return a.Excess }, func(o *Options) {
 			o.PerSecond = 16
@@ -47,17 +47,17 @@
 					t.Fatal(err)
 				}
 				if t.Logf("%q: %+v", policy, r.Audit); policy == "" && r.Audit.Broken() {
-					t.Errorf("broken with all guards in: %+v", r.Audit)
+					t.Errorf("rules broken although all are enforced: %+v", r.Audit)
 				} else if policy != "" && c.broken(r.Audit) == 0 {
-					t.Errorf("not found: %+v", r.Audit)
+					t.Errorf("the audit found no violation: %+v", r.Audit)
 				}
 			}
 		})
 	}
 }
 
-// TestLinks: rooms that are cut off, deaf or mute, and links that are slow, thin or reset under requests: each job that a
-// controller took has its one answer, and the rules are kept.
+// TestLinks runs fleets with rooms that are partitioned in both directions or one, and links that are silent, slow, of low bandwidth or reset
+// during requests. Each job that a controller accepted must be answered once, and no rule may be broken.
 func TestLinks(t *testing.T) {
 	for _, what := range []string{"cut", "deaf", "mute", "silent", "delay", "reset", "thin"} {
 		t.Run(what, func(t *testing.T) {
--- a/lab/fleet/seen_test.go
+++ b/lab/fleet/seen_test.go
@@ -7,7 +7,8 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
-// TestEndOfEarlierAttempt: where a job comes again before its earlier attempt is given up, each attempt has its own end.
+// TestEndOfEarlierAttempt guards against mixing up attempts with the same job id: if a job is sent again before its earlier attempt is
+// dropped, each attempt must get its own end.
 func TestEndOfEarlierAttempt(t *testing.T) {
 	began := time.Now()
 	r := &engineRecorder{startedAt: began, openAttempts: map[int]int{}}
--- a/lab/fleet/soak_test.go
+++ b/lab/fleet/soak_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestSoak: runs with faults that overlap, drawn from seeds. The long form, with many seeds, is the command fleet soak.
+// TestSoak runs fleets with overlapping faults drawn from a few seeds. The command fleet soak does the same with many seeds.
 func TestSoak(t *testing.T) {
 	err := RunSoak(context.Background(), program, 1, 6, 2, 5*time.Second, true, func(s Soaked) {
 		o, r := s.Options, s.Result
@@ -16,7 +16,7 @@
 			t.Errorf("seed %d broke a rule: %+v\n%s", s.Seed, r.Audit, s.Said)
 		}
 		if r.Figures.Jobs < 100 || r.Figures.Rejected > 0.8 {
-			t.Errorf("seed %d: hardly any jobs, or most rejected: %+v", s.Seed, r.Figures)
+			t.Errorf("seed %d: hardly any jobs, or most of them rejected: %+v", s.Seed, r.Figures)
 		}
 	})
 	if err != nil {
--- a/lab/fleet/spread/spread_test.go
+++ b/lab/fleet/spread/spread_test.go
@@ -9,15 +9,15 @@
 
 const ms = time.Millisecond
 
-func near(t *testing.T, what string, got, want, by float64) {
+func checkNear(t *testing.T, what string, got, want, tolerance float64) {
 	t.Helper()
-	if math.Abs(got-want) > by {
+	if math.Abs(got-want) > tolerance {
 		t.Errorf("%s: %.3f, wanted %.3f", what, got, want)
 	}
 }
 
-// arrivals at engines every few milliseconds, as a policy picks them.
-func arrivals(engines int, pick func(n int) int) Observations {
+// arrivalsBy returns observations of one arrival every 2.5 ms at the engine that a policy picks.
+func arrivalsBy(engines int, pick func(n int) int) Observations {
 	r := Observations{To: 20 * time.Second, Engines: engines, CoresPerEngine: 1, Controllers: 1}
 	for n := range 8000 {
 		r.Attempts = append(r.Attempts, Attempt{Engine: pick(n), ArrivedAt: time.Duration(n) * 2500 * time.Microsecond, Work: ms})
@@ -25,29 +25,29 @@
 	return r
 }
 
-// TestWindows: in turn, all on one, and by pure chance.
+// TestWindows checks the balance of arrivals in turn, all at one engine, at random, and in herds.
 func TestWindows(t *testing.T) {
-	turn := Compute(arrivals(4, func(n int) int { return n % 4 }))
-	near(t, "busiest in turn", turn.Windows[1].Busiest, 1, 0.01)
-	near(t, "idlest in turn", turn.Windows[1].Idlest, 1, 0.01)
-	near(t, "herd in turn", turn.Herd, 0, 0.01)
-	one := Compute(arrivals(4, func(int) int { return 2 }))
-	near(t, "busiest of all on one", one.Windows[1].Busiest, 4, 0.01)
-	near(t, "idlest of all on one", one.Windows[1].Idlest, 0, 0)
-	near(t, "variation of all on one", one.Windows[2].Variance, math.Sqrt(3), 0.01)
+	roundRobin := Compute(arrivalsBy(4, func(n int) int { return n % 4 }))
+	checkNear(t, "busiest in turn", roundRobin.Windows[1].Busiest, 1, 0.01)
+	checkNear(t, "idlest in turn", roundRobin.Windows[1].Idlest, 1, 0.01)
+	checkNear(t, "herd in turn", roundRobin.Herd, 0, 0.01)
+	single := Compute(arrivalsBy(4, func(int) int { return 2 }))
+	checkNear(t, "busiest of all on one", single.Windows[1].Busiest, 4, 0.01)
+	checkNear(t, "idlest of all on one", single.Windows[1].Idlest, 0, 0)
+	checkNear(t, "variation of all on one", single.Windows[2].Variance, math.Sqrt(3), 0.01)
 	rng := rand.New(rand.NewSource(1))
-	chance := arrivals(4, func(int) int { return rng.Intn(4) })
-	for n := range chance.Attempts { // times by chance too, or the sum over engines would be fixed
-		chance.Attempts[n].ArrivedAt = time.Duration(rng.Int63n(int64(20 * time.Second)))
+	random := arrivalsBy(4, func(int) int { return rng.Intn(4) })
+	for n := range random.Attempts { // random times too, otherwise the sum over engines would be fixed
+		random.Attempts[n].ArrivedAt = time.Duration(rng.Int63n(int64(20 * time.Second)))
 	}
-	near(t, "herd of chance", Compute(chance).Herd, 1, 0.1)
-	// In herds: each tenth of a second all of it goes to one engine.
-	if herd := Compute(arrivals(4, func(n int) int { return n / 40 % 4 })); herd.Herd < 5 || herd.Surge < 3.9 {
+	checkNear(t, "herd of chance", Compute(random).Herd, 1, 0.1)
+	// In herds: for a tenth of a second at a time, all arrivals are at one engine.
+	if herd := Compute(arrivalsBy(4, func(n int) int { return n / 40 % 4 })); herd.Herd < 5 || herd.Surge < 3.9 {
 		t.Error(herd.Herd, herd.Surge)
 	}
 }
 
-// TestIdle: two engines of one core for 10 s. A job is held for 2 s while one of them is free, and 1 s while both are.
+// TestIdle has two engines of one core for 10 s. A job is held for 2 s while one of them is free, and for 1 s while both are.
 func TestIdle(t *testing.T) {
 	r := Observations{To: 10 * time.Second, Engines: 2, CoresPerEngine: 1, Controllers: 2,
 		Attempts: []Attempt{{Engine: 0, ArrivedAt: 0, StartedAt: 1 * ms, EndedAt: 5 * time.Second}},
@@ -57,20 +57,20 @@
 			{Controller: 1, SentAt: 9 * time.Second},
 		}}
 	f := Compute(r)
-	// From 3 to 5 s one is free, from 5 to 6 s both; the job without an answer or an engine is held by nobody known.
-	near(t, "idle", f.Idle, (2+2)/20.0, 0.001)
-	near(t, "busy", f.Busy, 5/20.0, 0.001)
-	near(t, "stranded", f.Stranded, 1/3.0, 0.001)
-	near(t, "rejected", f.Rejected, 1/3.0, 0.001)
+	// From 3 to 5 s one engine is free, from 5 to 6 s both. A job that neither was answered nor reached an engine does not count as held.
+	checkNear(t, "idle", f.Idle, (2+2)/20.0, 0.001)
+	checkNear(t, "busy", f.Busy, 5/20.0, 0.001)
+	checkNear(t, "stranded", f.Stranded, 1/3.0, 0.001)
+	checkNear(t, "rejected", f.Rejected, 1/3.0, 0.001)
 	if f.Lost != 1 || f.Jobs != 3 {
 		t.Error(f)
 	}
-	// With both engines at work nobody is stranded.
+	// With both engines busy no job is stranded.
 	r.Attempts = append(r.Attempts, Attempt{Engine: 1, StartedAt: 1 * ms, EndedAt: 5 * time.Second})
-	near(t, "stranded beside none", Compute(r).Stranded, 0, 0)
+	checkNear(t, "stranded with both busy", Compute(r).Stranded, 0, 0)
 }
 
-// TestPeak: rates by seconds, without what lies outside.
+// TestPeak checks rates per second, without events outside of the measured span.
 func TestPeak(t *testing.T) {
 	r := Observations{From: time.Second, To: 5 * time.Second, Engines: 1, CoresPerEngine: 1, Controllers: 1,
 		Dials: []time.Duration{0, 1100 * ms, 1200 * ms, 1300 * ms, 4 * time.Second, 6 * time.Second}}
--- a/lab/fleet/standstill_test.go
+++ b/lab/fleet/standstill_test.go
@@ -18,9 +18,10 @@
 	"yarrowbarrow/lab/standin/engine"
 )
 
-// patience bounds every wait of these tests.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of these tests.
+const testTimeout = 20 * time.Second
 
+// program is the path of the built program.
 var program string
 
 // TestMain builds the program once.
@@ -38,31 +39,31 @@
 	os.Exit(code)
 }
 
-// The deadline is short, so that a process that is told to stop has to go 1.5 s later.
+// shortSettings has a short deadline, so that a process must end within 1.5 s of SIGTERM.
 const shortSettings = `{"balancers":1,"rank":0,"zone":"east","tick":5000000,"discovery":"pushed",
 "classes":[{"name":"quick","aim":500000000,"deadline":1000000000,"gain":1,"late_worth":0.3,"repeat":"retryable"}],
 "machine_types":["std"],"family_info":{"kind_cores":[64],"ram_of_kind_mb":[8192],"width_by_class":[1]},
 "permissions":{"connect_timeout":250000000,"idle_close":15000000000,"max_attempts":3,"max_retry_after":1000000000,
 "may_cancel":true,"probes":true,"retry_after":true,"streams_per_conn":32,"open_cap":20000}}`
 
-// alone is one process of the program between a stand-in engine and discovery.
-func alone(t *testing.T, sockets int) *Process {
+// startAlone starts one process of the program with a stand-in engine and a stand-in discovery server.
+func startAlone(t *testing.T, sockets int) *Process {
 	t.Helper()
-	p, _, _ := between(t, sockets, shortSettings, 1)
-	if err := p.Start(patience); err != nil {
+	p, _, _ := newProcessWithFakes(t, sockets, shortSettings, 1)
+	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// between is a process of the program, not started, between stand-in engines and discovery. Engines are named e0 and up.
-func between(t *testing.T, sockets int, settings string, engines int) (*Process, *discovery.Discovery, []*engine.Engine) {
+// newProcessWithFakes returns a process of the program, not started, with stand-in engines named e0 and up and a stand-in discovery server.
+func newProcessWithFakes(t *testing.T, sockets int, settings string, engines int) (*Process, *discovery.Discovery, []*engine.Engine) {
 	t.Helper()
-	f, err := discovery.Start("127.0.0.1:0")
+	list, err := discovery.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Close)
+	t.Cleanup(list.Close)
 	var all []*engine.Engine
 	var hosts []discovery.Host
 	for n := range engines {
@@ -71,307 +72,311 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Die)
-		all, hosts = append(all, e), append(hosts, shown(n, e, "active"))
+		all, hosts = append(all, e), append(hosts, engineEntry(n, e, "active"))
 	}
-	f.Tell(true, hosts...)
+	list.Tell(true, hosts...)
 	address, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := NewProcess(program, t.TempDir(), Setup{Name: "n", Listen: address, Seed: "1", Discovery: f.Address(),
-		Known: f.Since(0), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: sockets},
+	p := NewProcess(program, t.TempDir(), Setup{Name: "n", Listen: address, Seed: "1", Discovery: list.Address(),
+		Known: list.Since(0), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: sockets},
 		Settings: json.RawMessage(settings)})
 	t.Cleanup(p.Kill)
-	return p, f, all
+	return p, list, all
 }
 
-// shown is an engine as the list shows it.
-func shown(n int, e *engine.Engine, health string) discovery.Host {
+// engineEntry returns the entry of an engine in the list.
+func engineEntry(n int, e *engine.Engine, health string) discovery.Host {
 	return discovery.Host{Host: fmt.Sprint("e", n), Dial: e.Address(), Site: "east", Class: "std", Health: health}
 }
 
-// guest is a client that keeps account of its answers.
-type guest struct {
+// testClient is a client that waits for its answers and records errors.
+type testClient struct {
 	*load.Client
-	t    *testing.T
-	name int
-	sent int
-	open sync.WaitGroup
+	t       *testing.T
+	number  int
+	sent    int
+	pending sync.WaitGroup
 
-	mu   sync.Mutex
-	lost error
+	mu      sync.Mutex
+	lastErr error
 }
 
-func newGuest(t *testing.T, p *Process, name int) *guest {
+func newTestClient(t *testing.T, p *Process, number int) *testClient {
 	t.Helper()
 	c, err := load.Dial(p.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	return &guest{Client: c, t: t, name: name}
+	return &testClient{Client: c, t: t, number: number}
 }
 
-func (g *guest) ask() {
+// sendJob sends a job that must be done or rejected.
+func (g *testClient) sendJob() {
 	g.t.Helper()
-	g.open.Add(1)
+	g.pending.Add(1)
 	g.sent++
-	err := g.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", g.name, g.sent), Wait: 10 * time.Second,
+	err := g.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", g.number, g.sent), Wait: 10 * time.Second,
 		Statement: "select 1"}, func(a load.Answer, err error) {
-		defer g.open.Done()
+		defer g.pending.Done()
 		if err == nil && a.Code != frame.Done && a.Code != frame.Rejected {
 			err = fmt.Errorf("code %d", a.Code)
 		}
 		if err != nil {
 			g.mu.Lock()
-			g.lost = fmt.Errorf("guest %d: %w", g.name, err)
+			g.lastErr = fmt.Errorf("client %d: %w", g.number, err)
 			g.mu.Unlock()
 		}
 	})
 	if err != nil {
-		g.t.Fatal("guest ", g.name, ": ", err)
+		g.t.Fatal("client ", g.number, ": ", err)
 	}
 }
 
-// answered waits for all answers and gives what went wrong.
-func (g *guest) answered() error {
+// awaitAnswers waits for all answers and returns the last error.
+func (g *testClient) awaitAnswers() error {
 	g.t.Helper()
-	all := make(chan struct{})
-	go func() { g.open.Wait(); close(all) }()
+	done := make(chan struct{})
+	go func() { g.pending.Wait(); close(done) }()
 	select {
-	case <-all:
-	case <-time.After(patience):
-		g.t.Fatal("guest ", g.name, " waits in vain")
+	case <-done:
+	case <-time.After(testTimeout):
+		g.t.Fatal("client ", g.number, " got no answer in time")
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lost
+	return g.lastErr
 }
 
-// stands stops a process and waits until it does: what comes before that it still reads.
-func (p *Process) stands(t *testing.T) {
+// mustStop sends SIGSTOP and waits until the process is stopped, because until then it still reads.
+func (p *Process) mustStop(t *testing.T) {
 	t.Helper()
-	p.must(t, syscall.SIGSTOP)
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	p.mustSignal(t, syscall.SIGSTOP)
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 		if _, after, _ := strings.Cut(string(stat), ") "); err == nil && strings.HasPrefix(after, "T") {
 			return
 		}
 	}
-	t.Fatal("does not stop")
+	t.Fatal("the process does not stop")
 }
 
-func (p *Process) must(t *testing.T, s syscall.Signal) {
+// mustSignal sends a signal and fails the test if that is not possible.
+func (p *Process) mustSignal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestStandstillAtAdmission: all places are taken by clients that asked once and stay. While the process stands still,
-// newcomers come for whom some would have to go, and then each of those inside asks once more. No job of theirs is
-// lost: none is sent away with a job unread on its connection.
+// TestStandstillAtAdmission guards against closing a connection with an unread job on it. Idle clients hold almost all places. While the
+// process is stopped, new clients connect, for which some idle ones would have to be closed, and then each idle one sends a job. None of
+// these jobs may be lost.
 func TestStandstillAtAdmission(t *testing.T) {
 	t.Parallel()
-	p := alone(t, 64)
-	var inside []*guest
-	for n := range 28 { // below the number from which the quietest are asked to leave
-		g := newGuest(t, p, n+1)
-		g.ask()
-		if err := g.answered(); err != nil {
+	p := startAlone(t, 64)
+	var admitted []*testClient
+	for n := range 28 { // below the number from which the longest idle clients are asked to close
+		g := newTestClient(t, p, n+1)
+		g.sendJob()
+		if err := g.awaitAnswers(); err != nil {
 			t.Fatal(err)
 		}
-		inside = append(inside, g)
+		admitted = append(admitted, g)
 	}
-	time.Sleep(4500 * time.Millisecond) // so that they are the quietest, and not those who come
-	p.stands(t)
+	time.Sleep(4500 * time.Millisecond) // so that they are idle for longer than the new clients
+	p.mustStop(t)
 	for n := range 24 {
-		newGuest(t, p, 100+n)
+		newTestClient(t, p, 100+n)
 	}
-	for _, g := range inside {
-		g.ask()
+	for _, g := range admitted {
+		g.sendJob()
 	}
-	p.must(t, syscall.SIGCONT)
-	for _, g := range inside {
-		if err := g.answered(); err != nil {
+	p.mustSignal(t, syscall.SIGCONT)
+	for _, g := range admitted {
+		if err := g.awaitAnswers(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestStandstillOfQuiet: a client is quiet for longer than a connection may be, as the process stood still, and another
-// had sent half a message. Both go on in the standstill, and are answered.
+// TestStandstillOfQuiet guards against idle and read timeouts that expire because the process itself was stopped. One client is idle for
+// longer than allowed, and another has sent half a message. Both continue while the process is stopped and must be answered.
 func TestStandstillOfQuiet(t *testing.T) {
 	t.Parallel()
-	p := alone(t, 64)
-	quiet := newGuest(t, p, 1)
-	quiet.ask()
-	if err := quiet.answered(); err != nil {
+	p := startAlone(t, 64)
+	quiet := newTestClient(t, p, 1)
+	quiet.sendJob()
+	if err := quiet.awaitAnswers(); err != nil {
 		t.Fatal(err)
 	}
-	half := newHalf(t, p, 1)
-	half.greet()
-	half.begin()
-	p.stands(t)
-	time.Sleep(6500 * time.Millisecond) // more than 6 s of quiet, and 2 s of half a message
-	quiet.ask()
-	half.rest()
-	p.must(t, syscall.SIGCONT)
-	if err := quiet.answered(); err != nil {
+	partial := newFrameClient(t, p, 1)
+	partial.awaitReady()
+	partial.sendFirstPart()
+	p.mustStop(t)
+	time.Sleep(6500 * time.Millisecond) // longer than the limits of 6 s for an idle connection and 2 s for half a message
+	quiet.sendJob()
+	partial.sendRest()
+	p.mustSignal(t, syscall.SIGCONT)
+	if err := quiet.awaitAnswers(); err != nil {
 		t.Error(err)
 	}
-	half.answered()
+	partial.expectAnswer()
 }
 
-// TestStandstillWhileLeaving: a process that was told to stop stands still until after it has to be gone. What was sent
-// to it meanwhile, on connections that it had and on ones that nobody accepted yet, is answered all the same.
+// TestStandstillWhileLeaving checks that a process which was told to end, and was then stopped until after the time by which it has to end,
+// still answers jobs that were sent meanwhile, on open connections and on ones that it had not accepted yet.
 func TestStandstillWhileLeaving(t *testing.T) {
 	t.Parallel()
-	p := alone(t, 256)
-	var clients []*half
+	p := startAlone(t, 256)
+	var clients []*frameClient
 	for n := range 8 {
-		h := newHalf(t, p, n)
-		h.greet()
+		h := newFrameClient(t, p, n)
+		h.awaitReady()
 		clients = append(clients, h)
 	}
-	p.must(t, syscall.SIGTERM)
+	p.mustSignal(t, syscall.SIGTERM)
 	for _, h := range clients {
-		h.reads(frame.NoMore)
+		h.awaitFrame(frame.NoMore)
 	}
-	p.stands(t)
+	p.mustStop(t)
 	for n := range 8 {
-		clients = append(clients, newHalf(t, p, 8+n))
+		clients = append(clients, newFrameClient(t, p, 8+n))
 	}
 	for _, h := range clients {
-		h.whole()
+		h.sendJob()
 	}
-	time.Sleep(2 * time.Second) // the last moment is 1.5 s after the signal
-	p.must(t, syscall.SIGCONT)
+	time.Sleep(2 * time.Second) // the process has to end 1.5 s after the signal
+	p.mustSignal(t, syscall.SIGCONT)
 	for _, h := range clients {
-		h.answered()
+		h.expectAnswer()
 	}
 	select {
 	case <-p.Ended():
 		if err := p.Err(); err != nil {
 			t.Error(err, p.Log())
 		}
-	case <-time.After(patience):
-		t.Error("does not end")
+	case <-time.After(testTimeout):
+		t.Error("the process does not end")
 	}
 }
 
-// strangers are engines of which none takes jobs.
-func strangers(many int) (hosts []discovery.Host) {
-	for n := range many {
+// drainingEntries returns entries of engines none of which takes jobs.
+func drainingEntries(count int) (hosts []discovery.Host) {
+	for n := range count {
 		hosts = append(hosts, discovery.Host{Host: fmt.Sprint("stranger-", n), Dial: fmt.Sprintf("127.9.%d.%d:1", n/250, 1+n%250), Site: "west",
 			Class: "std", Health: "leaving"})
 	}
 	return hosts
 }
 
-// TestStandstillOverDrain: a process stands still while an engine is told to drain, jobs come, and the grace passes. What it reads
-// first when it goes on is up to chance; none of the jobs goes to the engine that drains.
+// TestStandstillOverDrain guards against jobs that are sent to a draining engine because the process reads them before the list. While the
+// process is stopped, an engine is announced as draining, jobs arrive, and the grace passes. Which of them it reads first when it resumes
+// is random; no job may go to the draining engine.
 func TestStandstillOverDrain(t *testing.T) {
 	t.Parallel()
 	settings := strings.TrimSuffix(shortSettings, "}") + `,"safety":{"drain_grace":250000000}}`
 	for round := range 4 {
-		p, list, engines := between(t, 256, settings, 2)
-		if err := p.Start(patience); err != nil {
+		p, list, engines := newProcessWithFakes(t, 256, settings, 2)
+		if err := p.Start(testTimeout); err != nil {
 			t.Fatal(err)
 		}
-		var clients []*guest
-		for n := range 8 { // connections to both engines are up
-			g := newGuest(t, p, 100*round+n+1)
-			g.ask()
+		var clients []*testClient
+		for n := range 8 { // opens connections to both engines
+			g := newTestClient(t, p, 100*round+n+1)
+			g.sendJob()
 			clients = append(clients, g)
 		}
 		for _, g := range clients {
-			if err := g.answered(); err != nil {
+			if err := g.awaitAnswers(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		p.stands(t)
+		p.mustStop(t)
 		before := engines[0].Audit().Taken
 		for _, g := range clients {
-			g.ask()
+			g.sendJob()
 		}
-		list.Tell(false, append(strangers(3000), shown(0, engines[0], "leaving"))...) // which takes milliseconds to read
+		list.Tell(false, append(drainingEntries(3000), engineEntry(0, engines[0], "leaving"))...) // takes milliseconds to read
 		time.Sleep(400 * time.Millisecond)
-		p.must(t, syscall.SIGCONT)
+		p.mustSignal(t, syscall.SIGCONT)
 		for _, g := range clients {
-			if err := g.answered(); err != nil {
+			if err := g.awaitAnswers(); err != nil {
 				t.Error(err)
 			}
 		}
 		if after := engines[0].Audit().Taken; after != before {
-			t.Errorf("round %d: %d jobs went to an engine that drains", round, after-before)
+			t.Errorf("round %d: %d jobs went to a draining engine", round, after-before)
 		}
 		p.Kill()
 	}
 }
 
-// TestSignalWhileStopped: a process is told to end while it stands still. It counts its time from the signal, not from when it
-// goes on: it has answered and ended before the kill.
+// TestSignalWhileStopped guards against a process that counts the time it has to end from when it resumes instead of from the signal, if it
+// gets SIGTERM while it is stopped. It must have answered and ended before it is killed.
 func TestSignalWhileStopped(t *testing.T) {
 	t.Parallel()
-	p, _, engines := between(t, 256, shortSettings, 1)
-	if err := p.Start(patience); err != nil {
+	p, _, engines := newProcessWithFakes(t, 256, shortSettings, 1)
+	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	g := newGuest(t, p, 1)
-	g.ask()
-	if err := g.answered(); err != nil {
+	g := newTestClient(t, p, 1)
+	g.sendJob()
+	if err := g.awaitAnswers(); err != nil {
 		t.Fatal(err)
 	}
 	engines[0].Hang(true)
-	g.ask()
-	p.stands(t)
-	p.must(t, syscall.SIGTERM)
-	kill := time.After(time.Second + 700*time.Millisecond) // the longest deadline, and the protocol's
-	time.Sleep(1100 * time.Millisecond)                    // longer than jobs are let come
-	p.must(t, syscall.SIGCONT)
+	g.sendJob()
+	p.mustStop(t)
+	p.mustSignal(t, syscall.SIGTERM)
+	kill := time.After(time.Second + 700*time.Millisecond) // the longest deadline, and the protocol's 700 ms
+	time.Sleep(1100 * time.Millisecond)                    // longer than new jobs are accepted after the signal
+	p.mustSignal(t, syscall.SIGCONT)
 	select {
 	case <-p.Ended():
 	case <-kill:
-		t.Error("still there when it is killed: ", p.Log())
+		t.Error("still running when it is to be killed: ", p.Log())
 	}
-	if err := g.answered(); err != nil {
+	if err := g.awaitAnswers(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestHangupWhileStarting: HUP and USR1 at any moment of a start ends no process, from when its libraries are loaded: before that nobody
-// but the parent can have it ignored. Rounds in which the process was up before the first signal, on a busy machine, don't count.
+// TestHangupWhileStarting guards against a process that is ended by SIGHUP or SIGUSR1 while it starts. Signals are sent from when its
+// libraries are loaded: before that only the parent could have set them to be ignored. Rounds in which the process was ready before the
+// first signal, as happens on a busy machine, don't count.
 func TestHangupWhileStarting(t *testing.T) {
 	t.Parallel()
-	const wanted, most = 12, 60
-	hit := 0
-	for round := 0; hit < wanted && round < most; round++ {
+	const wanted, maxRounds = 12, 60
+	signaled := 0
+	for round := 0; signaled < wanted && round < maxRounds; round++ {
 		sent, err := hangupWhileStarting(t)
 		if err != nil {
 			t.Fatalf("round %d, %d signals: %v", round, sent, err)
 		}
 		if sent > 0 {
-			hit++
+			signaled++
 		}
 	}
-	if hit < wanted {
-		t.Errorf("%d of %d starts had signals, of %d that are wanted", hit, most, wanted)
+	if signaled < wanted {
+		t.Errorf("%d of %d starts got signals, want %d", signaled, maxRounds, wanted)
 	}
 }
 
-// hangupWhileStarting starts a process under a series of signals, and tells how many pairs it had before it was ready.
+// hangupWhileStarting starts a process while sending it signals, and returns how many pairs of signals it got before it was ready.
 func hangupWhileStarting(t *testing.T) (sent int, err error) {
-	p, _, _ := between(t, 256, shortSettings, 1)
+	p, _, _ := newProcessWithFakes(t, 256, shortSettings, 1)
 	defer p.Kill()
-	over := make(chan bool)
-	signals := make(chan int)
+	started := make(chan bool)
+	pairs := make(chan int)
 	go func() {
 		sent := 0
 		for {
 			select {
-			case <-over:
-				signals <- sent
+			case <-started:
+				pairs <- sent
 				return
 			default:
 				if p.SignalIfHandled(syscall.SIGHUP) && p.SignalIfHandled(syscall.SIGUSR1) {
@@ -381,42 +386,42 @@
 			}
 		}
 	}()
-	err = p.Start(patience)
-	close(over)
-	return <-signals, err
+	err = p.Start(testTimeout)
+	close(started)
+	return <-pairs, err
 }
 
-// TestStandstillOverGone: clients send jobs and close their connections while a process stands still. It reads the jobs before the
-// ends of their connections, and sends none of them on.
+// TestStandstillOverGone guards against dispatching jobs of clients that are gone. Clients send jobs and close their connections while the
+// process is stopped, so that it reads each job before the end of the connection. No job may be sent to an engine.
 func TestStandstillOverGone(t *testing.T) {
 	t.Parallel()
-	p, _, engines := between(t, 256, shortSettings, 1)
-	if err := p.Start(patience); err != nil {
+	p, _, engines := newProcessWithFakes(t, 256, shortSettings, 1)
+	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	warm := newGuest(t, p, 1) // a connection to the engine is up
-	warm.ask()
-	if err := warm.answered(); err != nil {
+	warmUp := newTestClient(t, p, 1) // opens a connection to the engine
+	warmUp.sendJob()
+	if err := warmUp.awaitAnswers(); err != nil {
 		t.Fatal(err)
 	}
 	for round := range 5 {
-		var clients []*half
+		var clients []*frameClient
 		for n := range 8 {
-			h := newHalf(t, p, 10*round+n)
-			h.greet()
+			h := newFrameClient(t, p, 10*round+n)
+			h.awaitReady()
 			clients = append(clients, h)
 		}
-		p.stands(t)
+		p.mustStop(t)
 		before := engines[0].Audit().Taken
 		for _, h := range clients {
-			h.whole()
+			h.sendJob()
 			_ = h.conn.Close()
 		}
 		time.Sleep(300 * time.Millisecond)
-		p.must(t, syscall.SIGCONT)
+		p.mustSignal(t, syscall.SIGCONT)
 		time.Sleep(300 * time.Millisecond)
 		if after := engines[0].Audit().Taken; after != before {
-			t.Errorf("round %d: %d jobs of clients that had gone were sent on", round, after-before)
+			t.Errorf("round %d: %d jobs of clients that were gone were sent to the engine", round, after-before)
 		}
 	}
 }
--- a/lab/fleet/thousands_test.go
+++ b/lab/fleet/thousands_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// TestThousandsOfExecutors: a few controllers of a fleet of 900 follow a list of 3,200 executors, half of which are replaced
-// within seconds while controllers are restarted. Each job has its answer in time, and no executor gets one past its drain.
+// TestThousandsOfExecutors runs a few controllers, as part of a fleet of 900 or alone, with a list of 3,200 engines. Half of the engines are
+// replaced within seconds while controllers are restarted. Each job must be answered by its deadline, and no engine may get one after its
+// drain.
 func TestThousandsOfExecutors(t *testing.T) {
-	for _, settled := range []int{900, 4} { // controllers that the settings tell of
+	for _, settled := range []int{900, 4} { // number of controllers in the settings
 		t.Run(fmt.Sprint("of ", settled), func(t *testing.T) { replaceThousands(t, settled) })
 	}
 }
@@ -31,6 +32,6 @@
 		t.Errorf("%+v", r.Audit)
 	}
 	if r.Figures.Jobs < 200 || r.Figures.Rejected > 0.5 {
-		t.Errorf("hardly any jobs, or most rejected: %+v", r.Figures)
+		t.Errorf("hardly any jobs, or most of them rejected: %+v", r.Figures)
 	}
 }
