--- a/lab/fleet/audit.go
+++ b/lab/fleet/audit.go
@@ -150,9 +150,9 @@
 			e.report(&a.Together, "two attempts at once", id, e.sentJobs[id], attempts...)
 		}
 	}
-	for c, times := range extraAttempts {
-		if !e.restarted[c] {
-			a.Excess += e.countOverBudget(times, sentTimes[c])
+	for controller, times := range extraAttempts {
+		if !e.restarted[controller] {
+			a.Excess += e.countOverBudget(times, sentTimes[controller])
 		}
 	}
 	e.checkColdEngines(a)
--- a/lab/fleet/ends_test.go
+++ b/lab/fleet/ends_test.go
@@ -33,10 +33,10 @@
 	t.Parallel()
 	p, log := startWithLogPipe(t)
 	log.Close()
-	g := newTestClient(t, p, 1)
+	client := newTestClient(t, p, 1)
 	for range 10 {
-		g.sendJob()
-		if err := g.awaitAnswers(); err != nil {
+		client.sendJob()
+		if err := client.awaitAnswers(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -47,11 +47,11 @@
 func TestStalledLogHoldsUpProcess(t *testing.T) {
 	t.Parallel()
 	p, _ := startWithLogPipe(t)
-	g := newTestClient(t, p, 1)
+	client := newTestClient(t, p, 1)
 	from := time.Now()
 	for range 300 { // each logs some lines, and the pipe holds 64 KiB
-		g.sendJob()
-		if err := g.awaitAnswers(); err != nil {
+		client.sendJob()
+		if err := client.awaitAnswers(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -296,7 +296,7 @@
 		}
 		r.LossLast = now
 	}
-	say("losing 30% of datagrams")
+	say("losing three in ten datagrams")
 	group.Mesh.SetLinks(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
 	for until := time.Now().Add(2 * calmLength); time.Now().Before(until); time.Sleep(period) {
 		r.WrongLossy += group.CountStatuses(others, others)["gone"]
--- a/lab/fleet/memory_test.go
+++ b/lab/fleet/memory_test.go
@@ -63,11 +63,11 @@
 		list.Tell(true, discovery.Host{Host: "e0", Dial: startFloodingPeer(t, f), Site: "east", Class: "std", Health: "active"})
 		p.Known = list.Since(0)
 		startWithLimits(t, p, limits)
-		g := newTestClient(t, p, 1)
+		client := newTestClient(t, p, 1)
 		for range 16 {
-			g.sendIgnoringResult()
+			client.sendIgnoringResult()
 		}
-		_ = g.awaitAnswers()
+		_ = client.awaitAnswers()
 		return p
 	})
 }
@@ -105,14 +105,14 @@
 }
 
 // sendIgnoringResult sends a job whose outcome does not matter.
-func (g *testClient) sendIgnoringResult() {
-	g.t.Helper()
-	g.pending.Add(1)
-	g.sent++
-	err := g.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", g.number, g.sent), Wait: time.Second, Statement: "select 1"},
-		func(load.Answer, error) { g.pending.Done() })
+func (c *testClient) sendIgnoringResult() {
+	c.t.Helper()
+	c.pending.Add(1)
+	c.sent++
+	err := c.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", c.number, c.sent), Wait: time.Second, Statement: "select 1"},
+		func(load.Answer, error) { c.pending.Done() })
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 }
 
@@ -130,9 +130,9 @@
 func requireWithinMemory(t *testing.T, p *Process) {
 	t.Helper()
 	requireRunning(t, p)
-	g := newTestClient(t, p, 2)
-	g.sendIgnoringResult()
-	_ = g.awaitAnswers()
+	client := newTestClient(t, p, 2)
+	client.sendIgnoringResult()
+	_ = client.awaitAnswers()
 	requireRunning(t, p)
 	peak := p.PeakMB()
 	t.Logf("peak memory %.1f MB", peak)
@@ -159,9 +159,9 @@
 	}
 	floods.Wait()
 	requireRunning(t, p)
-	g := newTestClient(t, p, 2)
-	g.sendJob()
-	if err := g.awaitAnswers(); err != nil {
+	client := newTestClient(t, p, 2)
+	client.sendJob()
+	if err := client.awaitAnswers(); err != nil {
 		t.Error(err)
 	}
 }
--- a/lab/fleet/network.go
+++ b/lab/fleet/network.go
@@ -208,8 +208,8 @@
 // injectLinkFault injects a fault into the links of its targets, rooms or engine slots, and returns once it has ended.
 func (f *fleet) injectLinkFault(ctx context.Context, fault Fault, targets []int) {
 	targeted := map[int]bool{}
-	for _, n := range targets {
-		targeted[n] = true
+	for _, target := range targets {
+		targeted[target] = true
 	}
 	acrossBoundary := func(room int, h *host) bool { return targeted[room] != targeted[h.slot%f.Rooms] }
 	fromTargetsOut := func(room int, h *host) bool { return targeted[room] && !targeted[h.slot%f.Rooms] }
--- a/lab/fleet/relay/relay.go
+++ b/lab/fleet/relay/relay.go
@@ -108,7 +108,7 @@
 func (r *Relay) dropsConnects() bool { return r.impairment.blocksConnect() && !r.refusing && !r.closed }
 
 // blocksConnect reports whether a direction is silent, so that no connection can be established.
-func (t Impairment) blocksConnect() bool { return t.Silent[ToServer] || t.Silent[ToClient] }
+func (i Impairment) blocksConnect() bool { return i.Silent[ToServer] || i.Silent[ToClient] }
 
 // fillerDialTimeout allows for a busy machine when a filler dials a backlog with a free place. If another connection already waits to be
 // accepted, no place is free and the dial times out.
--- a/lab/fleet/soak.go
+++ b/lab/fleet/soak.go
@@ -60,7 +60,7 @@
 	Seed    int64
 	Options Options
 	Result  Result
-	Said    []string // log messages of the rig
+	Said    []string // log messages of the rig, to explain violations
 }
 
 // RunSoak runs seeds from first on, up to parallel of them at a time, and calls each with every result, one call at a time. It returns the
@@ -174,8 +174,8 @@
 	f.Say(format, args...)
 }
 
-// reloadRepeatedly has a controller reload its configuration again and again. Most of the configurations move discovery to another address
-// that serves the same list, and every fifth is truncated.
+// reloadRepeatedly has a controller reload its configuration again and again. About half of the configurations move discovery to another
+// address that serves the same list, and every fifth is truncated.
 func (f *fleet) reloadRepeatedly(ctx context.Context, controller int, duration time.Duration) {
 	process := f.processes[controller]
 	firstAddress := process.Discovery
--- a/lab/fleet/standstill_test.go
+++ b/lab/fleet/standstill_test.go
@@ -114,40 +114,40 @@
 }
 
 // sendJob sends a job that must be done or rejected.
-func (g *testClient) sendJob() {
-	g.t.Helper()
-	g.pending.Add(1)
-	g.sent++
-	err := g.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", g.number, g.sent), Wait: 10 * time.Second,
+func (c *testClient) sendJob() {
+	c.t.Helper()
+	c.pending.Add(1)
+	c.sent++
+	err := c.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", c.number, c.sent), Wait: 10 * time.Second,
 		Statement: "select 1"}, func(a load.Answer, err error) {
-		defer g.pending.Done()
+		defer c.pending.Done()
 		if err == nil && a.Code != frame.Done && a.Code != frame.Rejected {
 			err = fmt.Errorf("code %d", a.Code)
 		}
 		if err != nil {
-			g.mu.Lock()
-			g.lastErr = fmt.Errorf("client %d: %w", g.number, err)
-			g.mu.Unlock()
+			c.mu.Lock()
+			c.lastErr = fmt.Errorf("client %d: %w", c.number, err)
+			c.mu.Unlock()
 		}
 	})
 	if err != nil {
-		g.t.Fatal("client ", g.number, ": ", err)
+		c.t.Fatal("client ", c.number, ": ", err)
 	}
 }
 
 // awaitAnswers waits for all answers and returns the last error.
-func (g *testClient) awaitAnswers() error {
-	g.t.Helper()
+func (c *testClient) awaitAnswers() error {
+	c.t.Helper()
 	done := make(chan struct{})
-	go func() { g.pending.Wait(); close(done) }()
+	go func() { c.pending.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		g.t.Fatal("client ", g.number, " got no answer in time")
+		c.t.Fatal("client ", c.number, " got no answer in time")
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.lastErr
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastErr
 }
 
 // mustStop sends SIGSTOP and waits until the process is stopped, because until then it still reads.
@@ -179,24 +179,24 @@
 	p := startAlone(t, 64)
 	var admitted []*testClient
 	for n := range 28 { // below the number from which the longest idle clients are asked to close
-		g := newTestClient(t, p, n+1)
-		g.sendJob()
-		if err := g.awaitAnswers(); err != nil {
+		client := newTestClient(t, p, n+1)
+		client.sendJob()
+		if err := client.awaitAnswers(); err != nil {
 			t.Fatal(err)
 		}
-		admitted = append(admitted, g)
+		admitted = append(admitted, client)
 	}
 	time.Sleep(4500 * time.Millisecond) // so that they are idle for longer than the new clients
 	p.mustStop(t)
 	for n := range 24 {
 		newTestClient(t, p, 100+n)
 	}
-	for _, g := range admitted {
-		g.sendJob()
+	for _, client := range admitted {
+		client.sendJob()
 	}
 	p.mustSignal(t, syscall.SIGCONT)
-	for _, g := range admitted {
-		if err := g.awaitAnswers(); err != nil {
+	for _, client := range admitted {
+		if err := client.awaitAnswers(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -207,9 +207,9 @@
 func TestStandstillOfQuiet(t *testing.T) {
 	t.Parallel()
 	p := startAlone(t, 64)
-	quiet := newTestClient(t, p, 1)
-	quiet.sendJob()
-	if err := quiet.awaitAnswers(); err != nil {
+	idle := newTestClient(t, p, 1)
+	idle.sendJob()
+	if err := idle.awaitAnswers(); err != nil {
 		t.Fatal(err)
 	}
 	partial := newFrameClient(t, p, 1)
@@ -217,10 +217,10 @@
 	partial.sendFirstPart()
 	p.mustStop(t)
 	time.Sleep(6500 * time.Millisecond) // longer than the limits of 6 s for an idle connection and 2 s for half a message
-	quiet.sendJob()
+	idle.sendJob()
 	partial.sendRest()
 	p.mustSignal(t, syscall.SIGCONT)
-	if err := quiet.awaitAnswers(); err != nil {
+	if err := idle.awaitAnswers(); err != nil {
 		t.Error(err)
 	}
 	partial.expectAnswer()
@@ -233,25 +233,25 @@
 	p := startAlone(t, 256)
 	var clients []*frameClient
 	for n := range 8 {
-		h := newFrameClient(t, p, n)
-		h.awaitReady()
-		clients = append(clients, h)
+		client := newFrameClient(t, p, n)
+		client.awaitReady()
+		clients = append(clients, client)
 	}
 	p.mustSignal(t, syscall.SIGTERM)
-	for _, h := range clients {
-		h.awaitFrame(frame.NoMore)
+	for _, client := range clients {
+		client.awaitFrame(frame.NoMore)
 	}
 	p.mustStop(t)
 	for n := range 8 {
 		clients = append(clients, newFrameClient(t, p, 8+n))
 	}
-	for _, h := range clients {
-		h.sendJob()
+	for _, client := range clients {
+		client.sendJob()
 	}
 	time.Sleep(2 * time.Second) // the process has to end 1.5 s after the signal
 	p.mustSignal(t, syscall.SIGCONT)
-	for _, h := range clients {
-		h.expectAnswer()
+	for _, client := range clients {
+		client.expectAnswer()
 	}
 	select {
 	case <-p.Ended():
@@ -285,25 +285,25 @@
 		}
 		var clients []*testClient
 		for n := range 8 { // opens connections to both engines
-			g := newTestClient(t, p, 100*round+n+1)
-			g.sendJob()
-			clients = append(clients, g)
+			client := newTestClient(t, p, 100*round+n+1)
+			client.sendJob()
+			clients = append(clients, client)
 		}
-		for _, g := range clients {
-			if err := g.awaitAnswers(); err != nil {
+		for _, client := range clients {
+			if err := client.awaitAnswers(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p.mustStop(t)
 		before := engines[0].Audit().Taken
-		for _, g := range clients {
-			g.sendJob()
+		for _, client := range clients {
+			client.sendJob()
 		}
 		list.Tell(false, append(drainingEntries(3000), engineEntry(0, engines[0], "leaving"))...) // takes milliseconds to read
 		time.Sleep(400 * time.Millisecond)
 		p.mustSignal(t, syscall.SIGCONT)
-		for _, g := range clients {
-			if err := g.awaitAnswers(); err != nil {
+		for _, client := range clients {
+			if err := client.awaitAnswers(); err != nil {
 				t.Error(err)
 			}
 		}
@@ -322,13 +322,13 @@
 	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	g := newTestClient(t, p, 1)
-	g.sendJob()
-	if err := g.awaitAnswers(); err != nil {
+	client := newTestClient(t, p, 1)
+	client.sendJob()
+	if err := client.awaitAnswers(); err != nil {
 		t.Fatal(err)
 	}
 	engines[0].Hang(true)
-	g.sendJob()
+	client.sendJob()
 	p.mustStop(t)
 	p.mustSignal(t, syscall.SIGTERM)
 	kill := time.After(time.Second + 700*time.Millisecond) // the longest deadline, and the protocol's 700 ms
@@ -339,7 +339,7 @@
 	case <-kill:
 		t.Error("still running when it is to be killed: ", p.Log())
 	}
-	if err := g.awaitAnswers(); err != nil {
+	if err := client.awaitAnswers(); err != nil {
 		t.Error(err)
 	}
 }
@@ -407,15 +407,15 @@
 	for round := range 5 {
 		var clients []*frameClient
 		for n := range 8 {
-			h := newFrameClient(t, p, 10*round+n)
-			h.awaitReady()
-			clients = append(clients, h)
+			client := newFrameClient(t, p, 10*round+n)
+			client.awaitReady()
+			clients = append(clients, client)
 		}
 		p.mustStop(t)
 		before := engines[0].Audit().Taken
-		for _, h := range clients {
-			h.sendJob()
-			_ = h.conn.Close()
+		for _, client := range clients {
+			client.sendJob()
+			_ = client.conn.Close()
 		}
 		time.Sleep(300 * time.Millisecond)
 		p.mustSignal(t, syscall.SIGCONT)
