--- a/lab/fleet/audit.go
+++ b/lab/fleet/audit.go
@@ -63,7 +63,8 @@
 	if e.logf == nil {
 		return
 	}
-	text := fmt.Sprintf("%s: %s of controller %d, %s, sent at %v, abandoned at %v", rule, id, job.controller, job.kind.name, job.sentAt, job.abandonedAt)
+	text := fmt.Sprintf("%s: %s of controller %d, %s, sent at %v, abandoned at %v", rule, id, job.controller,
+		job.kind.name, job.sentAt, job.abandonedAt)
 	for _, attempt := range attempts {
 		text += fmt.Sprintf("; at %s %v to %v, told to wait %v", attempt.host.name, attempt.ArrivedAt, attempt.closedAt, attempt.toldWait)
 	}
@@ -127,7 +128,8 @@
 		if job.abandonedAt > 0 && attempt.ArrivedAt > job.abandonedAt+abandonGrace+e.slack {
 			e.report(&a.Unwanted, "attempt after its client gave up", attempt.id, job, attempt)
 		}
-		if attempt.toldWait > 0 && attempt.ArrivedAt+attempt.toldWait > job.sentAt+job.kind.deadline+toldWaitSlack+e.slack-minSlack+e.stalls.stalledBetween(job.sentAt, attempt.ArrivedAt) {
+		if attempt.toldWait > 0 && attempt.ArrivedAt+attempt.toldWait > job.sentAt+job.kind.deadline+toldWaitSlack+
+			e.slack-minSlack+e.stalls.stalledBetween(job.sentAt, attempt.ArrivedAt) {
 			e.report(&a.Overtold, "engine told too long a wait", attempt.id, job, attempt)
 		}
 		if job.kind.requiredRoom != "" && attempt.host.room != job.kind.requiredRoom {
--- a/lab/fleet/delay.go
+++ b/lab/fleet/delay.go
@@ -25,31 +25,31 @@
 )
 
 // measure records stalls until ctx ends. Times count from start.
-func (d *stallLog) measure(ctx context.Context, start time.Time) {
+func (l *stallLog) measure(ctx context.Context, start time.Time) {
 	for ctx.Err() == nil {
 		due := time.Since(start) + stallProbeInterval
 		time.Sleep(stallProbeInterval)
 		if now := time.Since(start); now-due > minStall {
-			d.add(stall{due, now})
+			l.add(stall{due, now})
 		}
 	}
 }
 
-func (d *stallLog) add(s stall) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.stalls = append(d.stalls, s)
+func (l *stallLog) add(s stall) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.stalls = append(l.stalls, s)
 }
 
 // stalledBetween returns how long the rig did not run between two times. It is 0 for a nil log.
-func (d *stallLog) stalledBetween(from, to time.Duration) (total time.Duration) {
-	if d == nil {
+func (l *stallLog) stalledBetween(from, to time.Duration) (total time.Duration) {
+	if l == nil {
 		return 0
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	first, _ := slices.BinarySearchFunc(d.stalls, from, func(s stall, at time.Duration) int { return cmp.Compare(s.to, at) })
-	for _, s := range d.stalls[first:] {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	first, _ := slices.BinarySearchFunc(l.stalls, from, func(s stall, at time.Duration) int { return cmp.Compare(s.to, at) })
+	for _, s := range l.stalls[first:] {
 		if s.from >= to {
 			break
 		}
--- a/lab/fleet/ends_test.go
+++ b/lab/fleet/ends_test.go
@@ -20,7 +20,8 @@
 	}
 	t.Cleanup(func() { log.Close() })
 	// The rig collects the output of the process that it starts, so a shell redirects the log to the pipe.
-	p.program, p.args = "/bin/sh", []string{"-c", fmt.Sprintf(`exec %q --log-level debug serve 2>/proc/%d/fd/%d`, program, os.Getpid(), writeEnd.Fd())}
+	p.program, p.args = "/bin/sh", []string{"-c",
+		fmt.Sprintf(`exec %q --log-level debug serve 2>/proc/%d/fd/%d`, program, os.Getpid(), writeEnd.Fd())}
 	if err := p.Start(testTimeout); err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/fault.go
+++ b/lab/fleet/fault.go
@@ -45,7 +45,8 @@
 	"hot":     {targetControllers, true, false, "controllers get ten times the mean job rate; each second others are selected", false},
 	"signals": {targetControllers, true, false, "controllers get HUP and USR1 in quick succession, with changing addresses of discovery", false},
 	"crowd":   {targetControllers, true, false, "idle clients take more than a third of the controllers' descriptors", false},
-	"flood":   {target: targetControllers, hasDuration: true, description: "clients send controllers malformed data, send at full speed, or read no answer", excludedFromDraw: true},
+	"flood": {target: targetControllers, hasDuration: true,
+		description: "clients send controllers malformed data, send at full speed, or read no answer", excludedFromDraw: true},
 	"babble":  {target: targetEngines, hasDuration: true, description: "engines answer jobs with endless malformed data", excludedFromDraw: true},
 	"eager":   {targetControllers, true, false, "clients of controllers send a rejected job again at once, up to twice", false},
 	"leave":   {targetControllers, true, false, "clients of controllers give up after a tenth of the deadline", false},
@@ -97,7 +98,8 @@
 		return f, fmt.Errorf("fault %q: %q is not a valid time, such as 5s or 300ms", text, m[3])
 	}
 	if spec.hasDuration != (m[4] != "") {
-		return f, fmt.Errorf("fault %q (%s) %s", text, spec.description, map[bool]string{true: "needs a duration, such as /3s", false: "takes no duration"}[spec.hasDuration])
+		return f, fmt.Errorf("fault %q (%s) %s", text, spec.description,
+			map[bool]string{true: "needs a duration, such as /3s", false: "takes no duration"}[spec.hasDuration])
 	}
 	if m[4] != "" {
 		if f.Duration, err = time.ParseDuration(m[4]); err != nil || f.Duration <= 0 {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -23,7 +23,7 @@
 	Program         string // path of the program: without arguments it serves, with "baseline NAME" it plays a baseline policy
 	Policy          string // name of a baseline policy, or "" for the program's own decisions
 	Controllers     int
-	Settled         int // number of controllers according to the settings, larger than Controllers if those that run play a part of a larger fleet; 0: Controllers
+	Settled         int // number of controllers in the settings, if those that run play a part of a larger fleet; 0: Controllers
 	Engines         int
 	Cores           int           // of each engine
 	Uneven          bool          // every third engine has twice the cores
@@ -198,7 +198,8 @@
 		f.clients = append(f.clients, g)
 	}
 	for _, fault := range f.Faults {
-		targets := fault.pickTargets(f.rng, map[faultTarget]int{targetControllers: f.Controllers, targetEngines: f.Engines, targetRooms: f.Rooms}[faults[fault.Name].target])
+		targets := fault.pickTargets(f.rng, map[faultTarget]int{targetControllers: f.Controllers, targetEngines: f.Engines,
+			targetRooms: f.Rooms}[faults[fault.Name].target])
 		rng := rand.New(rand.NewSource(f.rng.Int63()))
 		f.activeFaults.Add(1)
 		go func() {
@@ -365,8 +366,8 @@
 		}
 	}
 	arrivedAt := map[string]time.Duration{}
-	observed := evidence{sentJobs: map[string]*sentJob{}, hosts: f.hosts, restarted: f.restarted, breached: map[int]bool{}, slack: f.slack(), stalls: &f.stalls, budget: configuredBudget, cold: configuredColdStart,
-		dedupWindow: dedupWindow, logf: f.Say}
+	observed := evidence{sentJobs: map[string]*sentJob{}, hosts: f.hosts, restarted: f.restarted, breached: map[int]bool{},
+		slack: f.slack(), stalls: &f.stalls, budget: configuredBudget, cold: configuredColdStart, dedupWindow: dedupWindow, logf: f.Say}
 	if f.useRelays { // a message that cancels an attempt may be delayed on its link
 		observed.overlapTolerance = observed.slack
 	}
--- a/lab/fleet/kinds.go
+++ b/lab/fleet/kinds.go
@@ -76,5 +76,6 @@
 "may_cancel":true,"probes":true,"retry_after":true,"streams_per_conn":32,"open_cap":20000},
 "safety":{"cold":%d,"fall":%d,"start_capacity":%g,"tip_multiple":%g,"drain_grace":%d,"key_quiet":300000000,
 "budget_window":%d,"extra_floor":%g,"extra_per_request":%g}}`, o.Settled, rank, roomName(room), classes, o.Cores, 2*o.Cores, widths,
-		configuredColdStart.duration, configuredColdStart.loadWindow, configuredColdStart.startCapacity, configuredColdStart.overloadFactor, drainGrace, configuredBudget.window, configuredBudget.base, configuredBudget.perJob))
+		configuredColdStart.duration, configuredColdStart.loadWindow, configuredColdStart.startCapacity, configuredColdStart.overloadFactor,
+		drainGrace, configuredBudget.window, configuredBudget.base, configuredBudget.perJob))
 }
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -231,9 +231,9 @@
 	LossFirst  time.Duration `json:"loss_first_ns"` // from a kill until the first instance detects it, until half of them and until all do
 	LossHalf   time.Duration `json:"loss_half_ns"`
 	LossLast   time.Duration `json:"loss_last_ns"`
-	WrongCalm  int           `json:"wrong_calm"` // pairs in which a live instance is reported gone, summed over all queries: without faults, and at 30% loss
-	WrongLossy int           `json:"wrong_lossy"`
-	Healed     time.Duration `json:"healed_ns"` // from the end of a split into halves until all report all others alive
+	WrongCalm  int           `json:"wrong_calm"`  // pairs in which a live instance is reported gone, without faults
+	WrongLossy int           `json:"wrong_lossy"` // the same at 30% loss, summed over all queries
+	Healed     time.Duration `json:"healed_ns"`   // from the end of a split into halves until all report all others alive
 }
 
 // PlayTalk starts count instances and measures them without faults, then kills one, then loses 30% of datagrams, and then splits the
--- a/lab/fleet/members_test.go
+++ b/lab/fleet/members_test.go
@@ -56,12 +56,12 @@
 // mustAwaitContact waits until all given members report a contact state of their own.
 func (g *MemberGroup) mustAwaitContact(test *testing.T, members []int, want string) {
 	test.Helper()
-	for from := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		views := g.Views(members)
 		if !slices.ContainsFunc(views, func(s FleetView) bool { return s.Contact != want }) {
 			return
 		}
-		if time.Since(from) > testTimeout {
+		if time.Since(start) > testTimeout {
 			test.Fatalf("%v do not all report %s: %+v", members, want, views)
 		}
 	}
--- a/lab/fleet/network.go
+++ b/lab/fleet/network.go
@@ -29,8 +29,8 @@
 
 // addEngine starts an engine in a slot, at a new address if address is empty, otherwise at that of the engine it replaces.
 func (f *fleet) addEngine(slot int, address string) (*host, error) {
-	h := &host{name: fmt.Sprintf("engine-%03d", slot), slot: slot, cores: f.coresOf(slot), room: roomName(slot % f.Rooms), drainToldAt: map[int]time.Duration{},
-		recorder: &engineRecorder{startedAt: f.startedAt, openAttempts: map[int]int{}}}
+	h := &host{name: fmt.Sprintf("engine-%03d", slot), slot: slot, cores: f.coresOf(slot), room: roomName(slot % f.Rooms),
+		drainToldAt: map[int]time.Duration{}, recorder: &engineRecorder{startedAt: f.startedAt, openAttempts: map[int]int{}}}
 	var err error
 	if address == "" {
 		if address, err = FreeAddress(); err != nil {
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -135,10 +135,10 @@
 }
 
 // setStarting notes whether a process is starting, so that writeConfig does not truncate its configuration.
-func (p *Process) setStarting(yes bool) {
+func (p *Process) setStarting(starting bool) {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
-	p.starting = yes
+	p.starting = starting
 }
 
 // writeConfig atomically replaces the configuration file of the process. With truncated it writes only the first half, unless the process
--- a/lab/fleet/process_test.go
+++ b/lab/fleet/process_test.go
@@ -34,12 +34,12 @@
 // TestRigDelay checks the stalled time between two times, also where a stall lies only partly between them.
 func TestRigDelay(t *testing.T) {
 	const ms = time.Millisecond
-	d := stallLog{stalls: []stall{{10 * ms, 20 * ms}, {30 * ms, 60 * ms}, {70 * ms, 80 * ms}}}
+	log := stallLog{stalls: []stall{{10 * ms, 20 * ms}, {30 * ms, 60 * ms}, {70 * ms, 80 * ms}}}
 	for _, c := range []struct{ from, to, want time.Duration }{
 		{0, 10 * ms, 0}, {0, 15 * ms, 5 * ms}, {15 * ms, 40 * ms, 15 * ms}, {20 * ms, 30 * ms, 0}, {0, 100 * ms, 50 * ms},
 		{90 * ms, 100 * ms, 0}, {12 * ms, 14 * ms, 2 * ms},
 	} {
-		if got := d.stalledBetween(c.from, c.to); got != c.want {
+		if got := log.stalledBetween(c.from, c.to); got != c.want {
 			t.Errorf("%v to %v: %v, want %v", c.from, c.to, got, c.want)
 		}
 	}
--- a/lab/fleet/relay/relay.go
+++ b/lab/fleet/relay/relay.go
@@ -343,23 +343,23 @@
 			}
 		}
 	}()
-	for passing := range chunks {
-		if err := r.waitToPass(ctx, direction, passing.due); err != nil {
+	for next := range chunks {
+		if err := r.waitToPass(ctx, direction, next.due); err != nil {
 			return err
 		}
 		r.mu.Lock()
 		rate := r.impairment.BytesPerSecond
 		r.mu.Unlock()
 		if rate > 0 {
-			time.Sleep(time.Second * time.Duration(len(passing.data)) / time.Duration(rate))
+			time.Sleep(time.Second * time.Duration(len(next.data)) / time.Duration(rate))
 		}
-		n, err := limit.consume(len(passing.data))
-		if _, writeErr := to.Write(passing.data[:n]); writeErr != nil || err != nil {
+		n, err := limit.consume(len(next.data))
+		if _, writeErr := to.Write(next.data[:n]); writeErr != nil || err != nil {
 			return errors.Join(writeErr, err)
 		}
-		if errors.Is(passing.err, syscall.ECONNRESET) || passing.err != nil && ctx.Err() != nil {
-			return passing.err
-		} else if passing.err != nil {
+		if errors.Is(next.err, syscall.ECONNRESET) || next.err != nil && ctx.Err() != nil {
+			return next.err
+		} else if next.err != nil {
 			return nil
 		}
 	}
--- a/lab/fleet/rules_test.go
+++ b/lab/fleet/rules_test.go
@@ -25,7 +25,8 @@
 			o.Length = 5 * time.Second
 			o.Faults = []Fault{{Name: "replace", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
-		{"random", func(a Audit) int { return a.Felled }, func(o *Options) { // rule 4: the program without it still limits the load of cold engines, so the random policy is used
+		// Rule 4: the program without this rule still has its other limits, so the random policy is used.
+		{"random", func(a Audit) int { return a.Felled }, func(o *Options) {
 			o.Length, o.PerSecond = 4*time.Second, 60
 			o.Faults = []Fault{{Name: "lose", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
--- a/lab/fleet/seen.go
+++ b/lab/fleet/seen.go
@@ -242,11 +242,12 @@
 	defer g.mu.Unlock()
 	if err != nil {
 		now := time.Since(g.fleet.startedAt)
-		crossed := errors.Is(err, load.ErrCrossed) || g.fleet.KeepConnections && now-sent.sentAt < crossingWindow+g.fleet.stalls.stalledBetween(sent.sentAt, now)
+		crossed := errors.Is(err, load.ErrCrossed) || g.fleet.KeepConnections &&
+			now-sent.sentAt < crossingWindow+g.fleet.stalls.stalledBetween(sent.sentAt, now)
 		if delete(g.outcomes, job.ID); !g.lossExcused && sent.incarnation == g.incarnation && !crossed {
 			g.lost++
-			g.fleet.logf("lost: %s of controller %d, %s, sent at %v, connection ended after %v, the rig was stalled for %v of that: %v", job.ID, g.controller,
-				sent.kind.name, sent.sentAt, now-sent.sentAt, g.fleet.stalls.stalledBetween(sent.sentAt, now), err)
+			g.fleet.logf("lost: %s of controller %d, %s, sent at %v, connection ended after %v, the rig was stalled for %v of that: %v",
+				job.ID, g.controller, sent.kind.name, sent.sentAt, now-sent.sentAt, g.fleet.stalls.stalledBetween(sent.sentAt, now), err)
 		}
 		return
 	}
@@ -337,10 +338,10 @@
 	}
 	for _, id := range g.sentOrder {
 		if outcome := g.outcomes[id]; outcome != nil {
-			copied := *outcome
-			copied.ArrivedAt, copied.ReachedEngine = arrivedAt[id]
-			jobs = append(jobs, copied)
-			if copied.AnsweredAt == 0 {
+			job := *outcome
+			job.ArrivedAt, job.ReachedEngine = arrivedAt[id]
+			jobs = append(jobs, job)
+			if job.AnsweredAt == 0 {
 				lost++
 			}
 		}
--- a/lab/fleet/seen_test.go
+++ b/lab/fleet/seen_test.go
@@ -11,16 +11,17 @@
 // dropped, each attempt must get its own end.
 func TestEndOfEarlierAttempt(t *testing.T) {
 	began := time.Now()
-	r := &engineRecorder{startedAt: began, openAttempts: map[int]int{}}
+	recorder := &engineRecorder{startedAt: began, openAttempts: map[int]int{}}
 	for _, e := range []struct {
 		at   time.Duration
 		what engine.What
 		run  int
 	}{{1, engine.Came, 1}, {1, engine.Began, 1}, {3, engine.Came, 2}, {4, engine.Dropped, 1}, {5, engine.Began, 2}, {9, engine.Ended, 2}} {
-		r.observe(engine.Event{At: began.Add(e.at * time.Millisecond), What: e.what, ID: "same", Run: e.run})
+		recorder.observe(engine.Event{At: began.Add(e.at * time.Millisecond), What: e.what, ID: "same", Run: e.run})
 	}
-	visits, _, _ := r.snapshot()
-	if len(visits) != 2 || visits[0].closedAt != 4*time.Millisecond || visits[1].closedAt != 9*time.Millisecond || visits[1].StartedAt != 5*time.Millisecond {
-		t.Errorf("%+v", visits)
+	attempts, _, _ := recorder.snapshot()
+	if len(attempts) != 2 || attempts[0].closedAt != 4*time.Millisecond || attempts[1].closedAt != 9*time.Millisecond ||
+		attempts[1].StartedAt != 5*time.Millisecond {
+		t.Errorf("%+v", attempts)
 	}
 }
--- a/lab/fleet/soak.go
+++ b/lab/fleet/soak.go
@@ -19,7 +19,8 @@
 // the earliest time that the protocol allows. The audit checks the invariants. Each kind of fault is equally likely.
 func Soak(seed int64, length time.Duration) Options {
 	rng := rand.New(rand.NewSource(seed))
-	options := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true, KeepConnections: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
+	options := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true,
+		KeepConnections: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
 	options.Engines = []int{5, 8, 16, 40, 400, 1200}[rng.Intn(6)]
 	if rng.Intn(3) == 0 {
 		options.Settled = []int{100, 300, 900}[rng.Intn(3)]
@@ -31,7 +32,8 @@
 	termAt := (length/6 + time.Duration(rng.Int63n(int64(length)/4))).Round(100 * time.Millisecond)
 	options.Faults = append(options.Faults, Fault{Name: "term", Share: 0.1 + 0.3*rng.Float64(), At: termAt})
 	if rng.Intn(2) == 0 {
-		options.Faults = append(options.Faults, Fault{Name: "hang", Share: 0.2 + 0.3*rng.Float64(), At: termAt - length/30, Duration: maxExitDeadline + killDelay})
+		options.Faults = append(options.Faults, Fault{Name: "hang", Share: 0.2 + 0.3*rng.Float64(), At: termAt - length/30,
+			Duration: maxExitDeadline + killDelay})
 	}
 	return options
 }
