--- a/lab/fleet/fault.go
+++ b/lab/fleet/fault.go
@@ -40,7 +40,7 @@
 	"kill":    {targetControllers, false, false, "controllers are killed and restarted at once", false},
 	"term":    {targetControllers, false, false, "controllers get SIGTERM and are restarted once they have exited", false},
 	"stop":    {targetControllers, true, false, "controllers are stopped (SIGSTOP)", false},
-	"away":    {targetControllers, true, false, "discovery does not answer these controllers", false},
+	"away":    {targetControllers, true, false, "discovery does not answer the affected controllers", false},
 	"late":    {targetControllers, true, false, "controllers receive changes of the list late by this duration, until the end of the run", false},
 	"hot":     {targetControllers, true, false, "controllers get ten times the mean job rate; each second others are selected", false},
 	"signals": {targetControllers, true, false, "controllers get HUP and USR1 in quick succession, with changing addresses of discovery", false},
@@ -60,10 +60,10 @@
 	"delay":   {targetEngines, true, true, "links to engines take 100 to 200 ms each way", false},
 	"reset":   {targetEngines, true, true, "connections to engines are reset, on average after 2 kB", false},
 	"thin":    {targetEngines, true, true, "links to engines carry 2 kB per second and connection", false},
-	"lose":    {targetRooms, true, false, "all engines of these rooms are killed and come back cold, and the list says so", false},
-	"cut":     {targetRooms, true, true, "links between these rooms and the others carry nothing either way", false},
-	"deaf":    {targetRooms, true, true, "controllers of these rooms receive nothing from engines of other rooms", false},
-	"mute":    {targetRooms, true, true, "engines of other rooms receive nothing from controllers of these rooms", false},
+	"lose":    {targetRooms, true, false, "all engines of the affected rooms are killed and come back cold, and the list says so", false},
+	"cut":     {targetRooms, true, true, "links between the affected rooms and the others carry nothing either way", false},
+	"deaf":    {targetRooms, true, true, "controllers of the affected rooms receive nothing from engines of other rooms", false},
+	"mute":    {targetRooms, true, true, "engines of other rooms receive nothing from controllers of the affected rooms", false},
 }
 
 // FaultHelp describes the text form of a fault that ParseFault reads.
