--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -22,25 +22,25 @@
 	"yarrowbarrow/lab/standin/discovery"
 )
 
-// SeenMember is what an instance says of another on its status socket.
-type SeenMember struct {
-	Name   string        `json:"name"`
-	Life   int64         `json:"life"`
-	Status string        `json:"status"`
-	Age    time.Duration `json:"age_ns"`
-	Hears  time.Duration `json:"hears_us_ns"`
+// MemberView is what an instance reports of another member on its status socket.
+type MemberView struct {
+	Name        string        `json:"name"`
+	Incarnation int64         `json:"life"`
+	Status      string        `json:"status"`
+	Age         time.Duration `json:"age_ns"`
+	HearsUs     time.Duration `json:"hears_us_ns"`
 }
 
-// SeenFleet is what an instance says of its fleet.
-type SeenFleet struct {
-	Name    string       `json:"name"`
-	Life    int64        `json:"life"`
-	Contact string       `json:"contact"`
-	Members []SeenMember `json:"members"`
-	Open    struct {
-		Least   int `json:"at_least"`
-		Fresh   int `json:"instances"`
-		Unknown int `json:"unknown"`
+// FleetView is what an instance reports of its fleet on its status socket.
+type FleetView struct {
+	Name        string       `json:"name"`
+	Incarnation int64        `json:"life"`
+	Contact     string       `json:"contact"`
+	Members     []MemberView `json:"members"`
+	Open        struct {
+		AtLeast   int `json:"at_least"`
+		Instances int `json:"instances"`
+		Unknown   int `json:"unknown"`
 	} `json:"open_jobs"`
 	Counts struct {
 		Sent      int64 `json:"Sent"`
@@ -53,18 +53,18 @@
 	} `json:"counts"`
 }
 
-// Of finds a member, or an empty one.
-func (s SeenFleet) Of(name string) SeenMember {
-	for _, m := range s.Members {
+// Member returns the view of the member with a name, or an empty one if it is not known.
+func (v FleetView) Member(name string) MemberView {
+	for _, m := range v.Members {
 		if m.Name == name {
 			return m
 		}
 	}
-	return SeenMember{}
+	return MemberView{}
 }
 
-// Talkers are processes of the program that talk to one another over a mesh.
-type Talkers struct {
+// MemberGroup is a group of processes of the program that exchange membership messages over a mesh.
+type MemberGroup struct {
 	Processes []*Process
 	Mesh      *relay.Mesh
 	folder    string
@@ -73,196 +73,202 @@
 	closed    atomic.Bool
 }
 
-// StartTalkers starts so many, with a period between probes. Close ends them.
-func StartTalkers(program string, many int, period time.Duration, seed int64) (t *Talkers, err error) {
-	t = &Talkers{Mesh: relay.NewMesh(seed), rng: rand.New(rand.NewSource(seed))}
+// StartMembers starts count processes with a period between their probes. Close ends them. On an error everything has been closed.
+func StartMembers(program string, count int, period time.Duration, seed int64) (g *MemberGroup, err error) {
+	g = &MemberGroup{Mesh: relay.NewMesh(seed), rng: rand.New(rand.NewSource(seed))}
 	defer func() {
 		if err != nil {
-			t.Close()
+			g.Close()
 		}
 	}()
-	if t.folder, err = os.MkdirTemp("", "talk"); err != nil {
-		return t, err
+	if g.folder, err = os.MkdirTemp("", "talk"); err != nil {
+		return g, err
 	}
-	if t.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
-		return t, err
+	if g.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
+		return g, err
 	}
-	t.discovery.Tell(true)
-	key := filepath.Join(t.folder, "key")
-	if err = os.WriteFile(key, []byte("a key that all instances share\n"), 0o600); err != nil {
-		return t, err
+	g.discovery.Tell(true)
+	keyFile := filepath.Join(g.folder, "key")
+	if err = os.WriteFile(keyFile, []byte("a key that all instances share\n"), 0o600); err != nil {
+		return g, err
 	}
-	var told []string
-	var listens []string
-	for n := range many {
-		listen, err := FreeAddress()
+	var advertised []string
+	var listenAddresses []string
+	for n := range count {
+		listenAddress, err := FreeAddress()
 		if err != nil {
-			return t, err
+			return g, err
 		}
-		front, err := FreeAddress()
+		meshAddress, err := FreeAddress()
 		if err != nil {
-			return t, err
+			return g, err
 		}
-		own := strings.Replace(listen, ":"+strconv.Itoa(listenPort), ":7946", 1)
-		at, err := t.Mesh.Add(TalkerName(n), front, own)
+		memberAddress := strings.Replace(listenAddress, ":"+strconv.Itoa(listenPort), ":7946", 1)
+		address, err := g.Mesh.Add(MemberName(n), meshAddress, memberAddress)
 		if err != nil {
-			return t, err
+			return g, err
 		}
-		listens, told = append(listens, listen), append(told, at)
+		listenAddresses, advertised = append(listenAddresses, listenAddress), append(advertised, address)
 	}
-	options := Options{Controllers: many, Cores: 1, Rooms: 1}
-	for n := range many {
-		file := filepath.Join(t.folder, TalkerName(n)+".conf")
-		seeds := strconv.Quote(told[0])
-		if many > 1 {
-			seeds += ", " + strconv.Quote(told[1])
+	options := Options{Controllers: count, Cores: 1, Rooms: 1}
+	for n := range count {
+		file := filepath.Join(g.folder, MemberName(n)+".conf")
+		seeds := strconv.Quote(advertised[0])
+		if count > 1 {
+			seeds += ", " + strconv.Quote(advertised[1])
 		}
-		text := fmt.Sprintf("[fleet \"lab\"]\nadvertise = %q\nseeds = %s\nkey-file = %q\nperiod = %dms\nstatus = %q\n", told[n],
-			seeds, key, period.Milliseconds(), t.socket(n))
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			return t, err
+		config := fmt.Sprintf("[fleet \"lab\"]\nadvertise = %q\nseeds = %s\nkey-file = %q\nperiod = %dms\nstatus = %q\n", advertised[n],
+			seeds, keyFile, period.Milliseconds(), g.statusSocket(n))
+		if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
+			return g, err
 		}
-		t.Processes = append(t.Processes, NewProcess(program, t.folder, Setup{Name: TalkerName(n), Listen: listens[n], Seed: "1",
-			Discovery: t.discovery.Address(), Known: json.RawMessage(`{"n":0,"events":[]}`), Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
-			Settings: settings(options, plainKinds(), n, n%max(options.Rooms, 1))}, "serve", "--operators", file))
+		g.Processes = append(g.Processes, NewProcess(program, g.folder, Setup{Name: MemberName(n), Listen: listenAddresses[n], Seed: "1",
+			Discovery: g.discovery.Address(), Known: json.RawMessage(`{"n":0,"events":[]}`), Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+			Settings: settingsJSON(options, plainKinds(), n, n%max(options.Rooms, 1))}, "serve", "--operators", file))
 	}
-	return t, t.Each(func(n int) error { return t.Processes[n].Start(30 * time.Second) })
+	return g, g.Each(func(n int) error { return g.Processes[n].Start(30 * time.Second) })
 }
 
-// TalkerName is the name of the n-th.
-func TalkerName(n int) string { return fmt.Sprintf("t%03d", n) }
+// MemberName returns the name of the n-th member.
+func MemberName(n int) string { return fmt.Sprintf("t%03d", n) }
 
-func (t *Talkers) socket(n int) string { return filepath.Join(t.folder, TalkerName(n)+".sock") }
+// statusSocket returns the path of a member's status socket.
+func (g *MemberGroup) statusSocket(member int) string {
+	return filepath.Join(g.folder, MemberName(member)+".sock")
+}
 
-// Each does something with all, some at a time.
-func (t *Talkers) Each(do func(n int) error) error {
-	errs := make([]error, len(t.Processes))
-	turns := make(chan bool, 2*runtime.NumCPU())
-	var all sync.WaitGroup
-	for n := range t.Processes {
-		all.Add(1)
+// Each runs an action for every member, a limited number at a time, and returns the joined errors.
+func (g *MemberGroup) Each(action func(member int) error) error {
+	errs := make([]error, len(g.Processes))
+	slots := make(chan bool, 2*runtime.NumCPU())
+	var running sync.WaitGroup
+	for member := range g.Processes {
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			turns <- true
-			errs[n] = do(n)
-			<-turns
+			defer running.Done()
+			slots <- true
+			errs[member] = action(member)
+			<-slots
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	return errors.Join(errs...)
 }
 
-// Says asks one what it knows.
-func (t *Talkers) Says(n int) (s SeenFleet, err error) {
-	err = status.Ask(t.socket(n), &s)
-	return s, err
+// View queries the status socket of a member.
+func (g *MemberGroup) View(member int) (view FleetView, err error) {
+	err = status.Ask(g.statusSocket(member), &view)
+	return view, err
 }
 
-// Views asks a part of them.
-func (t *Talkers) Views(of []int) (all []SeenFleet) {
-	views := make([]SeenFleet, len(t.Processes))
-	_ = t.Each(func(n int) error {
-		if slices.Contains(of, n) {
-			views[n], _ = t.Says(n)
+// Views returns the views of the given members. It is empty for one that does not answer.
+func (g *MemberGroup) Views(members []int) (all []FleetView) {
+	views := make([]FleetView, len(g.Processes))
+	_ = g.Each(func(n int) error {
+		if slices.Contains(members, n) {
+			views[n], _ = g.View(n)
 		}
 		return nil
 	})
-	for _, n := range of {
+	for _, n := range members {
 		all = append(all, views[n])
 	}
 	return all
 }
 
-// Counts tells for how many of a part of them each of some others has a status.
-func (t *Talkers) Counts(by, of []int) map[string]int {
-	count := map[string]int{}
-	for _, s := range t.Views(by) {
-		for _, n := range of {
-			if name := TalkerName(n); name != s.Name {
-				count[s.Of(name).Status]++
+// CountStatuses returns by status how many pairs of an observer and another member among subjects there are in which the observer reports
+// that status for it. An unknown member counts under "".
+func (g *MemberGroup) CountStatuses(observers, subjects []int) map[string]int {
+	counts := map[string]int{}
+	for _, view := range g.Views(observers) {
+		for _, subject := range subjects {
+			if name := MemberName(subject); name != view.Name {
+				counts[view.Member(name).Status]++
 			}
 		}
 	}
-	return count
+	return counts
 }
 
-// Until waits until those of a part hold all of some others for a status, and gives how long that took.
-func (t *Talkers) Until(most time.Duration, by, of []int, want string) (took time.Duration, err error) {
-	from := time.Now()
+// AwaitStatus waits until all observers report the same status for all subjects, and returns how long that took. It fails after timeout
+// or when the group is closed.
+func (g *MemberGroup) AwaitStatus(timeout time.Duration, observers, subjects []int, status string) (took time.Duration, err error) {
+	start := time.Now()
 	for {
-		count := t.Counts(by, of)
-		if count[want] > 0 && len(count) == 1 {
-			return time.Since(from), nil
+		counts := g.CountStatuses(observers, subjects)
+		if counts[status] > 0 && len(counts) == 1 {
+			return time.Since(start), nil
 		}
-		if time.Since(from) > most || t.closed.Load() {
-			return 0, fmt.Errorf("after %v: %v", time.Since(from), count)
+		if time.Since(start) > timeout || g.closed.Load() {
+			return 0, fmt.Errorf("statuses after %v: %v", time.Since(start), counts)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Close ends all.
-func (t *Talkers) Close() {
-	t.closed.Store(true)
-	_ = t.Each(func(n int) error { t.Processes[n].Kill(); return nil })
-	t.Mesh.Close()
-	if t.discovery != nil {
-		t.discovery.Close()
+// Close kills the processes and removes their files.
+func (g *MemberGroup) Close() {
+	g.closed.Store(true)
+	_ = g.Each(func(n int) error { g.Processes[n].Kill(); return nil })
+	g.Mesh.Close()
+	if g.discovery != nil {
+		g.discovery.Close()
 	}
-	_ = os.RemoveAll(t.folder)
+	_ = os.RemoveAll(g.folder)
 }
 
-// Talk is what a run of instances that talk shows.
+// Talk holds the measurements of PlayTalk, a run of instances that exchange membership messages.
 type Talk struct {
 	Instances  int           `json:"instances"`
 	Period     time.Duration `json:"period_ns"`
-	Formed     time.Duration `json:"formed_ns"`    // from the last start until all hold all for alive
-	AgeHalf    time.Duration `json:"age_half_ns"`  // of words, over all pairs, in calm
-	AgeMost    time.Duration `json:"age_p99_ns"`   // 99 of 100
-	Datagrams  float64       `json:"datagrams_ps"` // a second and instance
+	Formed     time.Duration `json:"formed_ns"`    // from the last start until every instance reports all others alive
+	AgeHalf    time.Duration `json:"age_half_ns"`  // age of what an instance knows of another without faults: median over all pairs
+	AgeMost    time.Duration `json:"age_p99_ns"`   // 99th percentile
+	Datagrams  float64       `json:"datagrams_ps"` // per second and instance, as Bytes
 	Bytes      float64       `json:"bytes_ps"`
-	CPU        float64       `json:"cpu_share"` // of one core
-	Memory     float64       `json:"memory_mb"`
-	LossFirst  time.Duration `json:"loss_first_ns"` // from a kill until one knows, and until half and all do
+	CPU        float64       `json:"cpu_share"`     // of one core, per instance
+	Memory     float64       `json:"memory_mb"`     // resident, mean of the instances
+	LossFirst  time.Duration `json:"loss_first_ns"` // from a kill until the first instance detects it, until half of them and until all do
 	LossHalf   time.Duration `json:"loss_half_ns"`
 	LossLast   time.Duration `json:"loss_last_ns"`
-	WrongCalm  int           `json:"wrong_calm"` // pairs found gone that are there, over all looks
-	WrongLossy int           `json:"wrong_lossy"`
-	Healed     time.Duration `json:"healed_ns"` // after a split in halves
+	WrongCalm  int           `json:"wrong_calm"`  // pairs in which a live instance is reported gone, without faults
+	WrongLossy int           `json:"wrong_lossy"` // the same at 30% loss, summed over all queries
+	Healed     time.Duration `json:"healed_ns"`   // from the end of a split into halves until all report all others alive
 }
 
-// PlayTalk starts so many instances, looks at them in calm, kills one, loses three datagrams in ten, and splits them.
-func PlayTalk(ctx context.Context, program string, many int, period time.Duration, seed int64, say func(string, ...any)) (r Talk, err error) {
-	t, err := StartTalkers(program, many, period, seed)
+// PlayTalk starts count instances and measures them without faults, then kills one, then loses 30% of datagrams, and then splits the
+// instances into halves.
+func PlayTalk(ctx context.Context, program string, count int, period time.Duration, seed int64, say func(string, ...any)) (r Talk, err error) {
+	group, err := StartMembers(program, count, period, seed)
 	if err != nil {
 		return r, err
 	}
-	over := context.AfterFunc(ctx, t.Close) // what waits for them then finds nobody
-	defer t.Close()
-	defer over()
-	all := make([]int, many)
+	stopOnCancel := context.AfterFunc(ctx, group.Close) // pending waits then fail
+	defer group.Close()
+	defer stopOnCancel()
+	all := make([]int, count)
 	for n := range all {
 		all[n] = n
 	}
-	patience := time.Duration(60+many) * period
-	r.Instances, r.Period = many, period
-	if r.Formed, err = t.Until(patience, all, all, "alive"); err != nil {
+	timeout := time.Duration(60+count) * period
+	r.Instances, r.Period = count, period
+	if r.Formed, err = group.AwaitStatus(timeout, all, all, "alive"); err != nil {
 		return r, cmp.Or(ctx.Err(), err)
 	}
-	say("all hold all for alive after %v", r.Formed)
-	calm := 20 * period
-	time.Sleep(calm) // words of the start are older than those of calm
-	before := t.used()
-	datagrams, bytes := t.Mesh.Passed()
-	from := time.Now()
-	time.Sleep(calm)
-	length := time.Since(from).Seconds() * float64(many)
-	d, b := t.Mesh.Passed()
-	r.Datagrams, r.Bytes = float64(d-datagrams)/length, float64(b-bytes)/length
-	after := t.used()
-	r.CPU, r.Memory = (after.cpu-before.cpu).Seconds()/length, after.memory/float64(many)
+	say("every instance reports all others alive after %v", r.Formed)
+	calmLength := 20 * period
+	time.Sleep(calmLength) // lets what was learned during the start age out of the measurement
+	before := group.totalUsage()
+	datagrams, bytes := group.Mesh.Forwarded()
+	start := time.Now()
+	time.Sleep(calmLength)
+	instanceSeconds := time.Since(start).Seconds() * float64(count)
+	datagramsAfter, bytesAfter := group.Mesh.Forwarded()
+	r.Datagrams, r.Bytes = float64(datagramsAfter-datagrams)/instanceSeconds, float64(bytesAfter-bytes)/instanceSeconds
+	after := group.totalUsage()
+	r.CPU, r.Memory = (after.cpu-before.cpu).Seconds()/instanceSeconds, after.memoryMB/float64(count)
 	var ages []time.Duration
-	for _, s := range t.Views(all) {
+	for _, s := range group.Views(all) {
 		for _, m := range s.Members {
 			ages = append(ages, m.Age)
 			if m.Status == "gone" {
@@ -274,50 +280,51 @@
 	if len(ages) > 0 {
 		r.AgeHalf, r.AgeMost = ages[len(ages)/2], ages[len(ages)*99/100]
 	}
-	struck := many / 2
-	others := slices.Concat(all[:struck], all[struck+1:])
-	say("one of them is killed")
-	t.Processes[struck].Kill()
-	from = time.Now()
-	for known := 0; known < len(others) && time.Since(from) < patience; time.Sleep(period / 10) {
-		known = t.Counts(others, []int{struck})["gone"]
-		now := time.Since(from)
-		if known > 0 && r.LossFirst == 0 {
+	killed := count / 2
+	others := slices.Concat(all[:killed], all[killed+1:])
+	say("killing one instance")
+	group.Processes[killed].Kill()
+	start = time.Now()
+	for detected := 0; detected < len(others) && time.Since(start) < timeout; time.Sleep(period / 10) {
+		detected = group.CountStatuses(others, []int{killed})["gone"]
+		now := time.Since(start)
+		if detected > 0 && r.LossFirst == 0 {
 			r.LossFirst = now
 		}
-		if 2*known >= len(others) && r.LossHalf == 0 {
+		if 2*detected >= len(others) && r.LossHalf == 0 {
 			r.LossHalf = now
 		}
 		r.LossLast = now
 	}
-	say("three datagrams in ten are lost")
-	t.Mesh.Between(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
-	for until := time.Now().Add(2 * calm); time.Now().Before(until); time.Sleep(period) {
-		r.WrongLossy += t.Counts(others, others)["gone"]
+	say("losing three in ten datagrams")
+	group.Mesh.SetLinks(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
+	for until := time.Now().Add(2 * calmLength); time.Now().Before(until); time.Sleep(period) {
+		r.WrongLossy += group.CountStatuses(others, others)["gone"]
 	}
-	say("they are split in halves")
-	t.Mesh.Between(func(from, to string) relay.Link {
-		return relay.Link{Silent: (from < TalkerName(struck)) != (to < TalkerName(struck))}
+	say("splitting the instances into halves")
+	group.Mesh.SetLinks(func(from, to string) relay.Link {
+		return relay.Link{Silent: (from < MemberName(killed)) != (to < MemberName(killed))}
 	})
-	time.Sleep(calm)
-	t.Mesh.Whole()
-	if r.Healed, err = t.Until(patience, others, others, "alive"); ctx.Err() != nil {
+	time.Sleep(calmLength)
+	group.Mesh.Heal()
+	if r.Healed, err = group.AwaitStatus(timeout, others, others, "alive"); ctx.Err() != nil {
 		err = ctx.Err()
 	}
 	return r, err
 }
 
-// usedBy is what all instances together have used.
-type usedBy struct {
-	cpu    time.Duration
-	memory float64
+// resourceUsage is the total of all instances.
+type resourceUsage struct {
+	cpu      time.Duration
+	memoryMB float64
 }
 
-func (t *Talkers) used() (u usedBy) {
-	for _, p := range t.Processes {
+// totalUsage returns the usage of all running instances.
+func (g *MemberGroup) totalUsage() (total resourceUsage) {
+	for _, p := range g.Processes {
 		if cpu, memory, err := usage(p.PID()); err == nil {
-			u.cpu, u.memory = u.cpu+cpu, u.memory+memory
+			total.cpu, total.memoryMB = total.cpu+cpu, total.memoryMB+memory
 		}
 	}
-	return u
+	return total
 }
--- a/lab/fleet/soak.go
+++ b/lab/fleet/soak.go
@@ -14,36 +14,38 @@
 	"yarrowbarrow/lab/flood"
 )
 
-// Soak draws a run from a seed: 10 to 40 processes, four to nine faults of all kinds that overlap in time, lists from a handful of
-// engines to thousands, clients that use their connections until the kill, and a kill at the protocol's earliest. The invariants
-// are the audit's. Each kind of fault is drawn as often as any other.
+// Soak returns the options of a run drawn from a seed: 10 to 40 controllers, four to nine overlapping faults of all kinds plus terminations,
+// lists from a handful of engines to more than a thousand, clients that use their connections until the controller is killed, and kills at
+// the earliest time that the protocol allows. The audit checks the invariants. Each kind of fault is equally likely.
 func Soak(seed int64, length time.Duration) Options {
 	rng := rand.New(rand.NewSource(seed))
-	o := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true, Stay: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
-	o.Engines = []int{5, 8, 16, 40, 400, 1200}[rng.Intn(6)]
+	options := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true,
+		KeepConnections: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
+	options.Engines = []int{5, 8, 16, 40, 400, 1200}[rng.Intn(6)]
 	if rng.Intn(3) == 0 {
-		o.Settled = []int{100, 300, 900}[rng.Intn(3)]
-	}
-	o.PerSecond = 160 / float64(o.Controllers)
-	o.Cores = max(int(math.Ceil(1.6*soakCores/float64(o.Engines))), 1)
-	o.Faults = DrawFaults(seed, 4+rng.Intn(6), length)
-	// In every run controllers are told to end, and in half of them engines hang from just before until they are gone.
-	exit := (length/6 + time.Duration(rng.Int63n(int64(length)/4))).Round(100 * time.Millisecond)
-	o.Faults = append(o.Faults, Fault{What: "term", Share: 0.1 + 0.3*rng.Float64(), At: exit})
+		options.Settled = []int{100, 300, 900}[rng.Intn(3)]
+	}
+	options.PerSecond = 160 / float64(options.Controllers)
+	options.Cores = max(int(math.Ceil(1.6*soakMeanCores/float64(options.Engines))), 1)
+	options.Faults = DrawFaults(seed, 4+rng.Intn(6), length)
+	// Every run terminates controllers, and in half of the runs engines hang from shortly before that until the controllers have ended.
+	termAt := (length/6 + time.Duration(rng.Int63n(int64(length)/4))).Round(100 * time.Millisecond)
+	options.Faults = append(options.Faults, Fault{Name: "term", Share: 0.1 + 0.3*rng.Float64(), At: termAt})
 	if rng.Intn(2) == 0 {
-		o.Faults = append(o.Faults, Fault{What: "hang", Share: 0.2 + 0.3*rng.Float64(), At: exit - length/30, For: longestExit + killAfter})
+		options.Faults = append(options.Faults, Fault{Name: "hang", Share: 0.2 + 0.3*rng.Float64(), At: termAt - length/30,
+			Duration: maxExitDeadline + killDelay})
 	}
-	return o
+	return options
 }
 
-// hostile adds peers that send what can't be read or all they can, crowds of clients, and signals, to a run. They are drawn apart, so
-// that a seed's other faults are the same with and without.
-func (o *Options) hostile() {
+// addHostileFaults adds peers that flood or send malformed data, crowds of idle clients, and signals. They are drawn from a separate
+// generator, so that the other faults of a seed are the same with and without them.
+func (o *Options) addHostileFaults() {
 	rng := rand.New(rand.NewSource(o.Seed ^ 0x5eed))
-	draw := func(what string, share float64, most time.Duration) {
+	draw := func(name string, share float64, maxExtra time.Duration) {
 		at := (o.Length/10 + time.Duration(rng.Int63n(int64(o.Length)*6/10))).Round(100 * time.Millisecond)
-		length := (o.Length/20 + time.Duration(rng.Int63n(int64(most)))).Round(100 * time.Millisecond)
-		o.Faults = append(o.Faults, Fault{What: what, Share: share * (0.5 + rng.Float64()), At: at, For: length})
+		length := (o.Length/20 + time.Duration(rng.Int63n(int64(maxExtra)))).Round(100 * time.Millisecond)
+		o.Faults = append(o.Faults, Fault{Name: name, Share: share * (0.5 + rng.Float64()), At: at, Duration: length})
 	}
 	draw("flood", 0.2, o.Length/4)
 	draw("signals", 0.3, o.Length/3)
@@ -55,39 +57,39 @@
 	}
 }
 
-// Soaked is what a run of a soak came to.
+// Soaked is the result of one run of a soak.
 type Soaked struct {
 	Seed    int64
 	Options Options
 	Result  Result
-	Said    []string // what its rig had to say, for a run that broke a rule
+	Said    []string // log messages of the rig, to explain violations
 }
 
-// RunSoak plays seeds from a first one, so many side by side, and hands over each as it ends. It stops with the first error.
-// Hostile runs have peers that flood, crowds and signals besides.
-func RunSoak(ctx context.Context, program string, first int64, seeds, beside int, length time.Duration, hostile bool, each func(Soaked)) error {
-	turns, results := make(chan bool, max(beside, 1)), make(chan error, seeds)
-	var one sync.Mutex
+// RunSoak runs seeds from first on, up to parallel of them at a time, and calls each with every result, one call at a time. It returns the
+// first error. With hostile, runs also have the faults of addHostileFaults.
+func RunSoak(ctx context.Context, program string, first int64, seeds, parallel int, length time.Duration, hostile bool, each func(Soaked)) error {
+	runSlots, results := make(chan bool, max(parallel, 1)), make(chan error, seeds)
+	var eachMu sync.Mutex
 	for n := range seeds {
 		go func() {
-			turns <- true
-			defer func() { <-turns }()
+			runSlots <- true
+			defer func() { <-runSlots }()
 			s := Soaked{Seed: first + int64(n), Options: Soak(first+int64(n), length)}
-			var said sync.Mutex
+			var saidMu sync.Mutex
 			s.Options.Program = program
 			if hostile {
-				s.Options.hostile()
+				s.Options.addHostileFaults()
 			}
 			s.Options.Say = func(format string, args ...any) {
-				said.Lock()
-				defer said.Unlock()
+				saidMu.Lock()
+				defer saidMu.Unlock()
 				s.Said = append(s.Said, fmt.Sprintf(format, args...))
 			}
 			var err error
 			if s.Result, err = Run(ctx, s.Options); err == nil {
-				one.Lock()
+				eachMu.Lock()
 				each(s)
-				one.Unlock()
+				eachMu.Unlock()
 			}
 			results <- err
 		}()
@@ -100,120 +102,122 @@
 	return nil
 }
 
-// soakCores is what the jobs of a soak keep busy in the mean: 160 a second of 72 ms.
-const soakCores = 11.5
-
-// longestExit and killAfter are the protocol's: the longest deadline counted at an exit, and when after it and the signal to end
-// a process may be killed.
-const longestExit, killAfter = 3 * time.Second, 700 * time.Millisecond
-
-// endAtTheEarliest tells a controller to end, more than once and with other signals between, and kills it at the protocol's
-// earliest. New connections come for 0.3 s more; open ones are used until they are ended.
-func (f *fleet) endAtTheEarliest(n int) {
-	p := f.processes[n]
-	kill := time.After(min(longestWait(f.kinds), longestExit) + killAfter)
-	time.AfterFunc(300*time.Millisecond, func() { f.guests[n].stayAway(true) })
-	series := time.NewTicker(20 * time.Millisecond)
-	defer series.Stop()
-	for at := 0; ; at++ {
-		s := [...]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR1}[at%4]
-		_ = p.Signal(s) // an error tells that it has ended
+// soakMeanCores is the mean number of cores that the jobs of a soak keep busy: 160 jobs per second of 72 ms.
+const soakMeanCores = 11.5
+
+// By the protocol, a process may be killed once the longest deadline of its jobs, at most maxExitDeadline, and killDelay have passed since
+// SIGTERM.
+const maxExitDeadline, killDelay = 3 * time.Second, 700 * time.Millisecond
+
+// terminateAndKill sends a controller SIGTERM repeatedly, with other signals in between, until it ends or may be killed by the protocol; the
+// caller then kills it. Clients send jobs for 0.3 s more over new connections, and over open ones until those are closed.
+func (f *fleet) terminateAndKill(controller int) {
+	process := f.processes[controller]
+	kill := time.After(min(longestDeadline(f.kinds), maxExitDeadline) + killDelay)
+	time.AfterFunc(300*time.Millisecond, func() { f.clients[controller].setOutOfRotation(true) })
+	signalTicker := time.NewTicker(20 * time.Millisecond)
+	defer signalTicker.Stop()
+	for count := 0; ; count++ {
+		sig := [...]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGUSR1}[count%4]
+		_ = process.Signal(sig) // fails once the process has ended
 		select {
-		case <-p.Ended():
-			if err := p.Err(); err != nil {
-				f.crash("%s has ended badly: %v\n%s", p.Name, err, p.Log())
+		case <-process.Ended():
+			if err := process.Err(); err != nil {
+				f.recordCrash("%s exited with an error: %v\n%s", process.Name, err, process.Log())
 			}
 			return
 		case <-kill:
-			f.Say("%s is killed", p.Name)
+			f.Say("%s did not exit in time and will be killed", process.Name)
 			return
-		case <-series.C:
+		case <-signalTicker.C:
 		}
 	}
 }
 
-// memoryEvery is how often the peaks of memory are looked at, as those of a life that ended are gone.
-const memoryEvery = 100 * time.Millisecond
+// memorySampleInterval is how often peak memory is read, as it can't be read once a process has ended.
+const memorySampleInterval = 100 * time.Millisecond
 
-func (f *fleet) watchMemory(over context.Context) {
-	every := time.NewTicker(memoryEvery)
-	defer every.Stop()
+// sampleMemory records the peak memory of all processes until ctx ends.
+func (f *fleet) sampleMemory(ctx context.Context) {
+	ticker := time.NewTicker(memorySampleInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-over.Done():
+		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 			for _, p := range f.processes {
-				p.notePeak()
+				p.recordPeak()
 			}
 		}
 	}
 }
 
-// flood has hostile clients come to a controller, one at a time and of all kinds by turns, each for some MB at most.
-func (f *fleet) flood(over context.Context, n int, length time.Duration) {
-	until := time.Now().Add(length)
-	all := flood.Clients(f.kinds[0].name)
-	for at := n; time.Now().Before(until) && over.Err() == nil; at++ {
-		one := all[at%len(all)]
-		one.Times, one.Deadline = min(one.Times, mostPieces), time.Second
-		_ = one.Run(f.processes[n].Listen) // an error tells that it is being restarted
-		wait(over, 50*time.Millisecond)
+// floodController runs hostile clients against a controller, one at a time and of each kind in turn, each sending some MB at most.
+func (f *fleet) floodController(ctx context.Context, controller int, duration time.Duration) {
+	deadline := time.Now().Add(duration)
+	floods := flood.Clients(f.kinds[0].name)
+	for next := controller; time.Now().Before(deadline) && ctx.Err() == nil; next++ {
+		current := floods[next%len(floods)]
+		current.Times, current.Deadline = min(current.Times, maxFloodPieces), time.Second
+		_ = current.Run(f.processes[controller].Listen) // fails while the controller is being restarted
+		sleep(ctx, 50*time.Millisecond)
 	}
 }
 
-// mostPieces of a flood are sent at a time: a MiB each, mostly.
-const mostPieces = 4
+// maxFloodPieces is how many pieces one hostile client sends, most of them 1 MiB.
+const maxFloodPieces = 4
 
-func (f *fleet) crash(format string, args ...any) {
+// recordCrash counts and logs a process that ended with an error.
+func (f *fleet) recordCrash(format string, args ...any) {
 	f.mu.Lock()
 	f.crashes++
 	f.mu.Unlock()
 	f.Say(format, args...)
 }
 
-// signals has a controller take one configuration after the other; each moves discovery to another connection point of the same
-// list, and one of them can't be read.
-func (f *fleet) signals(over context.Context, n int, length time.Duration) {
-	p := f.processes[n]
-	first := p.Discovery
-	pause := time.NewTicker(max(length/20, 10*time.Millisecond))
-	defer pause.Stop()
-	for at := range 20 {
-		address := first
-		if at%2 == 0 && at < 18 {
-			address = f.discoveries[n].Second()
+// reloadRepeatedly has a controller reload its configuration again and again. About half of the configurations move discovery to another
+// address that serves the same list, and every fifth is truncated.
+func (f *fleet) reloadRepeatedly(ctx context.Context, controller int, duration time.Duration) {
+	process := f.processes[controller]
+	firstAddress := process.Discovery
+	ticker := time.NewTicker(max(duration/20, 10*time.Millisecond))
+	defer ticker.Stop()
+	for round := range 20 {
+		address := firstAddress
+		if round%2 == 0 && round < 18 {
+			address = f.discoveries[controller].Second()
 		}
-		p.reconfigure(address, at%5 == 3)
-		p.SignalIfTaken(syscall.SIGHUP)
-		if at%4 == 0 {
-			p.SignalIfTaken(syscall.SIGUSR1)
+		process.reconfigure(address, round%5 == 3)
+		process.SignalIfHandled(syscall.SIGHUP)
+		if round%4 == 0 {
+			process.SignalIfHandled(syscall.SIGUSR1)
 		}
 		select {
-		case <-over.Done():
-		case <-pause.C:
+		case <-ctx.Done():
+		case <-ticker.C:
 		}
 	}
-	p.reconfigure(first, false)
-	p.SignalIfTaken(syscall.SIGHUP)
+	process.reconfigure(firstAddress, false)
+	process.SignalIfHandled(syscall.SIGHUP)
 }
 
-// crowdShare of a controller's descriptors are taken by idle clients.
-const crowdShare = 0.45
+// idleClientShare is the share of a controller's descriptors that idle clients take.
+const idleClientShare = 0.45
 
-// crowd has idle clients connect and stay.
-func (f *fleet) crowd(over context.Context, n int, length time.Duration) {
-	until := time.After(length)
+// openIdleClients opens idle client connections to a controller and keeps them for a duration.
+func (f *fleet) openIdleClients(ctx context.Context, controller int, duration time.Duration) {
+	until := time.After(duration)
 	var conns []net.Conn
-	for range int(crowdShare * float64(f.processes[n].Limits.Sockets)) {
-		conn, err := net.DialTimeout("tcp", f.processes[n].Listen, time.Second)
+	for range int(idleClientShare * float64(f.processes[controller].Limits.Sockets)) {
+		conn, err := net.DialTimeout("tcp", f.processes[controller].Listen, time.Second)
 		if err != nil {
-			continue // it is being restarted
+			continue // the controller is being restarted
 		}
 		conns = append(conns, conn)
 	}
 	select {
-	case <-over.Done():
+	case <-ctx.Done():
 	case <-until:
 	}
 	for _, conn := range conns {
@@ -221,11 +225,12 @@
 	}
 }
 
-// countViolations adds what processes counted themselves. An answer that is overdue where the process was stopped is physics.
+// countViolations adds the invariant violations, panics and fatal errors in the processes' logs. Overdue answers of a process that was
+// stopped are unavoidable and do not count.
 func (f *fleet) countViolations(a *Audit) {
 	for n, p := range f.processes {
 		for line := range strings.Lines(p.Log()) {
-			broken := strings.Contains(line, "invariant violated") && (f.guests[n].stopped == 0 || !strings.Contains(line, "answered_overdue"))
+			broken := strings.Contains(line, "invariant violated") && (f.clients[n].standstillTime == 0 || !strings.Contains(line, "answered_overdue"))
 			if broken || strings.Contains(line, "msg=panic") || strings.Contains(line, "fatal error") {
 				a.Violated++
 				f.Say("%s: %s", p.Name, strings.TrimSpace(line))
@@ -234,13 +239,14 @@
 	}
 }
 
-// reconfigure writes another configuration for a process, to be taken with HUP; a torn one ends in the middle.
-func (p *Process) reconfigure(address string, torn bool) {
-	p.files.Lock()
+// reconfigure writes a configuration with another address of discovery, which the process reads on SIGHUP. A truncated one ends in the
+// middle.
+func (p *Process) reconfigure(address string, truncated bool) {
+	p.configMu.Lock()
 	setup := p.Setup
-	p.files.Unlock()
+	p.configMu.Unlock()
 	setup.Discovery = address
-	if err := p.configure(setup, torn); err != nil {
-		panic(fmt.Sprint("a configuration can't be written: ", err)) // the rig's own folder
+	if err := p.writeConfig(setup, truncated); err != nil {
+		panic(fmt.Sprint("can't write a configuration file: ", err)) // the file is in the rig's own folder
 	}
 }
