--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -137,7 +137,7 @@
 
 func (c *membersCommand) Run(out *output) error {
 	var view fleetView
-	if err := status.Ask(c.Socket, &view); err != nil {
+	if err := status.Query(c.Socket, &view); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/config/platform.go
+++ b/config/platform.go
@@ -50,7 +50,7 @@
 func (c *Config) Engines() []route.Engine {
 	indexByID := map[route.EngineID]int{} // position in engines of each engine that is up
 	var engines []route.Engine
-	_, _, _ = listing.Read(json.RawMessage(c.InitialDiscovery), 0, func(isSnapshot bool) {
+	_, _, _ = listing.Replay(json.RawMessage(c.InitialDiscovery), 0, func(isSnapshot bool) {
 		if isSnapshot {
 			engines = nil
 			clear(indexByID)
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -43,7 +43,7 @@
 // parseAnswer parses one answer in place and returns the call to make for it.
 func (c *Controller) parseAnswer(l *engineLink, id logic.JobID, verb string, fields, body []byte) func() {
 	load, work, memory, pageCount, page, err := noLoad, 0.0, 0.0, 0, -1, error(nil)
-	resp.Fields(fields, func(name, value []byte) {
+	resp.ParsePairs(fields, func(name, value []byte) {
 		var parseErr error
 		switch string(name) {
 		case "ticks":
@@ -214,7 +214,7 @@
 // report noLoad.
 func parseLoad(stats []byte) (load logic.Load, err error) {
 	load = noLoad
-	resp.Pairs(stats, ';', ':', func(name, value []byte) {
+	resp.ParsePairsSeparatedBy(stats, ';', ':', func(name, value []byte) {
 		var target *float64
 		switch string(name) {
 		case "util":
--- a/controller/clients.go
+++ b/controller/clients.go
@@ -63,7 +63,7 @@
 		return nil
 	})
 	if cl.turnedAway || c.phase >= Draining {
-		cl.sendEmptyFrame(frame.NoMore, 0)
+		cl.sendEmptyFrame(frame.Drain, 0)
 	}
 	runner.register(cl.link, cl.onData)
 	return cl
@@ -95,7 +95,7 @@
 func (h admissionHost) AskToLeave(id admission.ConnID) {
 	c, cl := h.c, h.c.clients[id]
 	c.counts[clientsAskedToLeave]++
-	cl.sendEmptyFrame(frame.NoMore, 0)
+	cl.sendEmptyFrame(frame.Drain, 0)
 	cl.afterFlush(func() { c.admission.LeaveRequestSent(c.now, id) })
 }
 
@@ -171,9 +171,9 @@
 		switch kind {
 		case frame.Job:
 			return c.readJob(cl, stream, payload), size, nil
-		case frame.Gone:
+		case frame.Cancel:
 			return func() { c.handleGone(cl, stream) }, size, nil
-		case frame.Ready:
+		case frame.ReadinessRequest:
 			return func() { c.handleReady(cl, stream) }, size, nil
 		}
 		return nil, 0, errFrameType
@@ -198,7 +198,7 @@
 	if c.phase != Ready || c.paused {
 		code = 2
 	}
-	cl.sendFrame(frame.IsReady, stream, code, "", "")
+	cl.sendFrame(frame.ReadinessResponse, stream, code, "", "")
 }
 
 var (
@@ -240,7 +240,7 @@
 // read parses the known fields, each of which may occur once; unknown ones belong to later versions of the protocol.
 func (f *jobFields) read(payload []byte) (body []byte, err error) {
 	duplicate := false
-	body, err = frame.Fields(payload, func(field, value []byte) {
+	body, err = frame.ParseFields(payload, func(field, value []byte) {
 		var target *[]byte
 		switch string(field) {
 		case "class":
@@ -333,7 +333,7 @@
 	needMB, _ := parseNumber(f.memory, maxNumber)
 	j := &job{id: logic.JobID(f.id), client: cl, stream: stream, class: logic.ClassName(f.class), idempotencyKey: string(f.idempotencyKey),
 		statement: append([]byte(nil), body...), priority: 1}
-	tables, customer := statement.Group(string(j.statement)), cmp.Or(string(f.tenant), string(f.customer))
+	tables, customer := statement.TableGroup(string(j.statement)), cmp.Or(string(f.tenant), string(f.customer))
 	tenant, key, isRetry := logic.CustomerID(f.tenant), logic.Key(f.key), len(f.retry) > 0 && string(f.retry) != "0"
 	return func() {
 		cl.touch()
@@ -463,8 +463,8 @@
 	for _, part := range body {
 		size += len(part)
 	}
-	head := make([]byte, 0, frame.HeadSize+64)
-	head = append(frame.AppendHead(head, kind, stream, size), code, 0)
+	head := make([]byte, 0, frame.HeaderBytes+64)
+	head = append(frame.AppendHeader(head, kind, stream, size), code, 0)
 	if field != "" {
 		head[len(head)-1] = 1
 		head = frame.AppendField(head, field, value)
@@ -474,7 +474,7 @@
 
 // sendEmptyFrame queues a frame without a payload.
 func (cl *client) sendEmptyFrame(kind byte, stream uint32) {
-	cl.queueOutput(frame.AppendHead(nil, kind, stream, 0))
+	cl.queueOutput(frame.AppendHeader(nil, kind, stream, 0))
 }
 
 // queueOutput closes the connection of a client that sends jobs and does not read its answers, once its unsent output
@@ -506,7 +506,7 @@
 	}
 	c.setPhase(Draining)
 	for _, cl := range c.clients {
-		cl.sendEmptyFrame(frame.NoMore, 0)
+		cl.sendEmptyFrame(frame.Drain, 0)
 	}
 	// The platform lets connections and jobs arrive for 0.6 s after the signal. It kills the process no sooner than 0.7 s
 	// plus the longest deadline, which is at most 3 s, after the signal. 100 ms are left for the last bytes to be sent.
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -103,9 +103,9 @@
 
 // answer sends an answer to the command's job.
 func (cmd command) answer(words ...string) {
-	line := resp.AppendArray(nil, 4)
+	line := resp.AppendArrayHeader(nil, 4)
 	for _, word := range append([]string{cmd.words[1]}, words...) {
-		line = resp.AppendWord(line, word)
+		line = resp.AppendBulkString(line, word)
 	}
 	_, _ = cmd.conn.Write(line)
 }
@@ -274,8 +274,8 @@
 		b.t.Cleanup(func() { c.Close() })
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		cl := testClient{c, b.t}
-		cl.write(frame.AppendHead(nil, frame.Ready, 900, 1), []byte{0})
-		cl.expectFrame(frame.IsReady, 900, 1, "")
+		cl.write(frame.AppendHeader(nil, frame.ReadinessRequest, 900, 1), []byte{0})
+		cl.expectFrame(frame.ReadinessResponse, 900, 1, "")
 		return cl
 	}
 	b.t.Fatal("not ready")
@@ -295,7 +295,7 @@
 		payload = frame.AppendField(payload, fields[n], fields[n+1])
 	}
 	payload = append(payload, body...)
-	return append(frame.AppendHead(nil, frame.Job, stream, len(payload)), payload...)
+	return append(frame.AppendHeader(nil, frame.Job, stream, len(payload)), payload...)
 }
 
 // sendJob sends a job.
@@ -311,7 +311,7 @@
 // readFrame reads a frame.
 func (cl testClient) readFrame() (kind byte, stream uint32, code byte, fields map[string]string, body string) {
 	cl.t.Helper()
-	head := make([]byte, frame.HeadSize)
+	head := make([]byte, frame.HeaderBytes)
 	if _, err := io.ReadFull(cl, head); err != nil {
 		cl.t.Fatal("no frame: ", err)
 	}
@@ -322,7 +322,7 @@
 	fields = map[string]string{}
 	if len(payload) > 0 {
 		code = payload[0]
-		rest, _ := frame.Fields(payload[1:], func(name, value []byte) { fields[string(name)] = string(value) })
+		rest, _ := frame.ParseFields(payload[1:], func(name, value []byte) { fields[string(name)] = string(value) })
 		body = string(rest)
 	}
 	return head[4], uint32(head[7])<<8 + uint32(head[8]), code, fields, body
@@ -536,7 +536,7 @@
 	cl := startController(t, "", e).connect()
 	cl.sendQuickJob(1, "2000")
 	e.expectCommand("serve")
-	cl.write(frame.AppendHead(nil, frame.Gone, 1, 0))
+	cl.write(frame.AppendHeader(nil, frame.Cancel, 1, 0))
 	if cmd := e.expectCommand("cancel"); cmd.words[1] != "0000000000000001" {
 		t.Error(cmd.words)
 	}
@@ -682,9 +682,9 @@
 	cl.sendQuickJob(1, "2000")
 	cmd := e.expectCommand("serve")
 	b.stop()
-	cl.expectFrame(frame.NoMore, 0, 0, "")
-	cl.write(frame.AppendHead(nil, frame.Ready, 5, 1), []byte{0})
-	cl.expectFrame(frame.IsReady, 5, 2, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
+	cl.write(frame.AppendHeader(nil, frame.ReadinessRequest, 5, 1), []byte{0})
+	cl.expectFrame(frame.ReadinessResponse, 5, 2, "")
 	cl.sendQuickJob(2, "2000") // sent before the client learned of the stop
 	second := e.expectCommand("serve")
 	cmd.answer("HIT", "count=1", rowA)
@@ -703,7 +703,7 @@
 	cl.sendQuickJob(1, "2500")
 	cmd := e.expectCommand("serve")
 	b.stop()
-	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
 	b.waitUntil(func() bool { return b.c.phase == Leaving })
 	lateConn, err := net.Dial("tcp", b.address)
 	if err != nil {
@@ -712,7 +712,7 @@
 	defer lateConn.Close()
 	lateClient := testClient{lateConn, t}
 	lateClient.sendQuickJob(3, "2000")
-	lateClient.expectFrame(frame.NoMore, 0, 0, "")
+	lateClient.expectFrame(frame.Drain, 0, 0, "")
 	lateClient.expectFrame(frame.Answer, 3, frame.Rejected, "")
 	cl.sendQuickJob(2, "2000")
 	cl.expectFrame(frame.Answer, 2, frame.Rejected, "")
@@ -730,7 +730,7 @@
 	e.expectCommand("serve")
 	start := time.Now()
 	b.stop()
-	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
 	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
 	b.awaitExit()
 	if took := time.Since(start); took > 3700*time.Millisecond {
@@ -764,7 +764,7 @@
 			t.Error(got)
 		}
 	}
-	for _, data := range [][]byte{{0, 0, 0, 1}, {0x7f, 0, 0, 0}, frame.AppendHead(nil, 77, 1, 0)} {
+	for _, data := range [][]byte{{0, 0, 0, 1}, {0x7f, 0, 0, 0}, frame.AppendHeader(nil, 77, 1, 0)} {
 		cl := b.connect()
 		cl.write(data)
 		cl.expectFrame(frame.Answer, 0, frame.Failed, "")
@@ -835,7 +835,7 @@
 		b.c.admission.Sweep(b.c.now)
 		return b.c.counts[clientsIdleClosed] == 1
 	})
-	silent.expectFrame(frame.NoMore, 0, 0, "")
+	silent.expectFrame(frame.Drain, 0, 0, "")
 	silent.expectClosed()
 	half.expectFrame(frame.Answer, 0, frame.Failed, "")
 	half.expectClosed()
@@ -843,7 +843,7 @@
 	for range b.c.admission.MaxConns() {
 		b.connect()
 	}
-	first.expectFrame(frame.NoMore, 0, 0, "")
+	first.expectFrame(frame.Drain, 0, 0, "")
 	first.expectClosed()
 }
 
--- a/controller/crossing_attempt_test.go
+++ b/controller/crossing_attempt_test.go
@@ -66,7 +66,7 @@
 // connection. The job is not sent when the connection opens, even where the module may not recall jobs.
 func TestGoneWhileDialing(t *testing.T) {
 	for name, leave := range map[string]func(cl testClient){
-		"cancels":     func(cl testClient) { cl.write(frame.AppendHead(nil, frame.Gone, 1, 0)) },
+		"cancels":     func(cl testClient) { cl.write(frame.AppendHeader(nil, frame.Cancel, 1, 0)) },
 		"closes":      func(cl testClient) { cl.Close() },
 		"resets":      func(cl testClient) { _ = cl.Conn.(*net.TCPConn).SetLinger(0); cl.Close() },
 		"half-closes": func(cl testClient) { _ = cl.Conn.(*net.TCPConn).CloseWrite() },
@@ -246,7 +246,7 @@
 	b.c.withLock(func() { // under the lock no input is handled
 		j := b.c.jobs["0000000000000002"]
 		l := j.client.link
-		cl.write(frame.AppendHead(nil, frame.Gone, 2, 0))
+		cl.write(frame.AppendHeader(nil, frame.Cancel, 2, 0))
 		for deadline := time.Now().Add(testTimeout); !l.hasUnread() && time.Now().Before(deadline); {
 		}
 		b.c.engines["e0"].links[0].retired = false // now a connection is available
--- a/controller/crossing_close_test.go
+++ b/controller/crossing_close_test.go
@@ -28,7 +28,7 @@
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	cl := testClient{c, t}
 	cl.sendJob(1, "select 1", "class", "quick", "id", "00000000000000ff", "wait", "2900")
-	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
 	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
 	cl.expectClosed()
 }
@@ -40,7 +40,7 @@
 	cl := b.connect()
 	b.c.withLock(func() {
 		for _, id := range sorted(b.c.clients) {
-			b.c.clients[id].sendFrame(frame.IsReady, 901, 1, "", "")
+			b.c.clients[id].sendFrame(frame.ReadinessResponse, 901, 1, "", "")
 			b.c.closeClient(b.c.clients[id], "test")
 		}
 	})
@@ -49,7 +49,7 @@
 	for at := range 100 {
 		cl.sendQuickJob(uint32(2+at), "2000")
 	}
-	if kind, _, _, _, _ := cl.readFrame(); kind != frame.IsReady {
+	if kind, _, _, _, _ := cl.readFrame(); kind != frame.ReadinessResponse {
 		t.Error("type", kind)
 	}
 	cl.expectClosed()
@@ -71,7 +71,7 @@
 	}
 	b.stop()
 	for _, cl := range clients {
-		cl.expectFrame(frame.NoMore, 0, 0, "")
+		cl.expectFrame(frame.Drain, 0, 0, "")
 	}
 	b.waitUntil(func() bool { return int(b.c.lingeringConns.Load()) == len(clients) })
 	for _, cl := range clients {
@@ -98,7 +98,7 @@
 func TestLongDeadlineWhileLeaving(t *testing.T) {
 	b, cl := startWithHangingJob(t, 20*time.Second)
 	b.stop()
-	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
 	b.waitUntil(func() bool { return b.c.exit != nil })
 	b.c.withLock(func() {
 		if j := b.c.jobs["0000000000000001"]; j.inFlight.deadline > b.c.exit.LatestDeadline() || j.deadline > b.c.exit.LatestDeadline() {
@@ -121,7 +121,7 @@
 		b.c.startDrain()
 		time.Sleep(b.c.exit.LatestDeadline() + 2*shutdownGrace - b.c.clock())
 	})
-	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
 	cl.expectFrame(frame.Answer, 1, frame.Rejected, "")
 	b.awaitExit()
 	if b.c.counts[jobsCutByExit] != 0 {
@@ -169,5 +169,5 @@
 	if !client.isShutOrClosed() {
 		t.Error("Run has ended and the connection is not shut down")
 	}
-	cl.expectFrame(frame.NoMore, 0, 0, "")
+	cl.expectFrame(frame.Drain, 0, 0, "")
 }
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -95,7 +95,7 @@
 func (d *discovery) applyEvents(events listing.Events, kind func(whole bool) logic.ListKind) {
 	c := d.c
 	var listed map[logic.EngineID]bool
-	last, gap := events.Since(d.lastEvent, func(whole bool) {
+	last, gap := events.ReplaySince(d.lastEvent, func(whole bool) {
 		if listed = nil; whole {
 			listed = map[logic.EngineID]bool{}
 		}
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -269,9 +269,9 @@
 	if j.priority != 1 {
 		fields += ",order=" + strconv.Itoa(j.priority)
 	}
-	head := resp.AppendWord(resp.AppendArray(make([]byte, 0, 192), 4), "serve")
-	head = resp.AppendWord(resp.AppendWord(head, string(j.id)), fields)
-	head = resp.AppendWordHead(head, len(j.statement))
+	head := resp.AppendBulkString(resp.AppendArrayHeader(make([]byte, 0, 192), 4), "serve")
+	head = resp.AppendBulkString(resp.AppendBulkString(head, string(j.id)), fields)
+	head = resp.AppendBulkStringHeader(head, len(j.statement))
 	a.link, j.lastSent, j.usedLinks = l, a, append(j.usedLinks, l)
 	l.attempts[j.id] = a
 	l.lastUsed = c.now
@@ -291,9 +291,9 @@
 
 // sendCommand queues a command, usually about a job.
 func (l *engineLink) sendCommand(words ...string) {
-	line := resp.AppendArray(nil, len(words))
+	line := resp.AppendArrayHeader(nil, len(words))
 	for _, word := range words {
-		line = resp.AppendWord(line, word)
+		line = resp.AppendBulkString(line, word)
 	}
 	l.enqueue(line)
 }
--- a/controller/memory_test.go
+++ b/controller/memory_test.go
@@ -50,7 +50,7 @@
 				if index == 0 {
 					size = share + 1
 				}
-				b.c.clients[id].sendFrame(frame.IsReady, 902, 1, "", "", make([]byte, size))
+				b.c.clients[id].sendFrame(frame.ReadinessResponse, 902, 1, "", "", make([]byte, size))
 				if dropped := b.c.clients[id] == nil; dropped != (crowded && index == 0) {
 					t.Error(fmt.Sprint("crowded ", crowded, ", client ", index, ": dropped ", dropped))
 				}
--- a/controller/reading_test.go
+++ b/controller/reading_test.go
@@ -15,8 +15,8 @@
 // expectReady asks whether the controller is ready, and requires that it is.
 func (cl testClient) expectReady() {
 	cl.t.Helper()
-	cl.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
-	cl.expectFrame(frame.IsReady, 901, 1, "")
+	cl.write(frame.AppendHeader(nil, frame.ReadinessRequest, 901, 1), []byte{0})
+	cl.expectFrame(frame.ReadinessResponse, 901, 1, "")
 }
 
 // linkOf returns the controller's side of a client's connection. It must be called under the lock.
@@ -39,7 +39,7 @@
 	cl := b.connect()
 	b.c.withLock(func() {
 		_ = cl.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-		_, _ = cl.Write(frame.AppendHead(nil, frame.Job, 2, frame.MaxLength-frame.MinLength))
+		_, _ = cl.Write(frame.AppendHeader(nil, frame.Job, 2, frame.MaxLength-frame.MinLength))
 		for chunk, sent := make([]byte, 1<<20), 0; sent < 60; sent++ {
 			if _, err := cl.Write(chunk); err != nil {
 				break
@@ -57,7 +57,7 @@
 	for range 20 {
 		cl, other := b.connect(), b.connect()
 		b.c.withLock(func() {
-			cl.write(frame.AppendHead(nil, frame.Ready, 901, 1), []byte{0})
+			cl.write(frame.AppendHeader(nil, frame.ReadinessRequest, 901, 1), []byte{0})
 			l := b.linkOf(cl)
 			for deadline := time.Now().Add(testTimeout); !l.readWaiting.Load() && time.Now().Before(deadline); {
 				time.Sleep(100 * time.Microsecond) // until its callback waits for the lock
@@ -103,7 +103,7 @@
 	half := make([]byte, frame.MaxLength-100)
 	for range 24 { // 24 times 256 KiB, half of the bound of 12 MB, as a buffer at most doubles when it grows
 		cl := b.connect()
-		cl.write(frame.AppendHead(nil, frame.Job, 1, frame.MaxLength-frame.MinLength), half)
+		cl.write(frame.AppendHeader(nil, frame.Job, 1, frame.MaxLength-frame.MinLength), half)
 		all = append(all, cl)
 	}
 	b.waitUntil(func() bool {
--- a/controller/reload_test.go
+++ b/controller/reload_test.go
@@ -56,9 +56,9 @@
 				default:
 					continue
 				}
-				out = resp.AppendArray(out, len(answer))
+				out = resp.AppendArrayHeader(out, len(answer))
 				for _, word := range answer {
-					out = resp.AppendWord(out, word)
+					out = resp.AppendBulkString(out, word)
 				}
 			}
 			if _, err := conn.Write(out); err != nil {
@@ -152,7 +152,7 @@
 					return
 				}
 				_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
-				head := make([]byte, frame.HeadSize)
+				head := make([]byte, frame.HeaderBytes)
 				if _, err := io.ReadFull(conn, head); err != nil {
 					t.Error("no answer: ", err)
 					return
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -10,13 +10,13 @@
 
 // The types of frames, and the size in bytes of what precedes the payload.
 const (
-	Job      = 100 // client: a job
-	Answer   = 101 // controller: the outcome of a job
-	Gone     = 102 // client: no longer waits for a job
-	Ready    = 110 // client: asks whether jobs are accepted
-	IsReady  = 111 // controller: answers Ready
-	NoMore   = 120 // controller: asks the client to send no more jobs on this connection
-	HeadSize = 9
+	Job               = 100 // client: a job
+	Answer            = 101 // controller: the outcome of a job
+	Cancel            = 102 // client: no longer waits for a job
+	ReadinessRequest  = 110 // client: asks whether jobs are accepted
+	ReadinessResponse = 111 // controller: answers Ready
+	Drain             = 120 // controller: asks the client to send no more jobs on this connection
+	HeaderBytes       = 9
 )
 
 // The outcomes in an Answer frame.
@@ -47,14 +47,14 @@
 	if size = 4 + int(length); len(data) < size {
 		return 0, 0, nil, 0, nil
 	}
-	return data[4], binary.BigEndian.Uint32(data[5:]), data[HeadSize:size], size, nil
+	return data[4], binary.BigEndian.Uint32(data[5:]), data[HeaderBytes:size], size, nil
 }
 
 var errTruncatedFields = errors.New("fields end early")
 
-// Fields calls visit with each field of a payload and returns the body, which follows the fields. All of them share memory with
+// ParseFields calls visit with each field of a payload and returns the body, which follows the fields. All of them share memory with
 // payload.
-func Fields(payload []byte, visit func(name, value []byte)) (body []byte, err error) {
+func ParseFields(payload []byte, visit func(name, value []byte)) (body []byte, err error) {
 	if len(payload) == 0 {
 		return nil, errTruncatedFields
 	}
@@ -75,8 +75,8 @@
 	return rest, nil
 }
 
-// AppendHead appends what precedes a payload of payloadBytes bytes: length, type and stream.
-func AppendHead(dst []byte, kind byte, stream uint32, payloadBytes int) []byte {
+// AppendHeader appends what precedes a payload of payloadBytes bytes: length, type and stream.
+func AppendHeader(dst []byte, kind byte, stream uint32, payloadBytes int) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, uint32(MinLength+payloadBytes))
 	return binary.BigEndian.AppendUint32(append(dst, kind), stream)
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -11,7 +11,7 @@
 func jobFrame(stream uint32, body string) []byte {
 	payload := AppendField(AppendField([]byte{2}, "class", "quick"), "wait", "1500")
 	payload = append(payload, body...)
-	return append(AppendHead(nil, Job, stream, len(payload)), payload...)
+	return append(AppendHeader(nil, Job, stream, len(payload)), payload...)
 }
 
 func TestNext(t *testing.T) {
@@ -22,7 +22,7 @@
 		if err != nil || size == 0 || kind != Job {
 			t.Fatal(kind, size, err)
 		}
-		body, err := Fields(payload, func(name, value []byte) { got = append(got, string(name)+"="+string(value)) })
+		body, err := ParseFields(payload, func(name, value []byte) { got = append(got, string(name)+"="+string(value)) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, payload := range [][]byte{{}, {1}, {1, 2, 'a'}, {1, 1, 'a', 0}, {1, 1, 'a', 0, 2, 'x'}} {
-		if _, err := Fields(payload, func(_, _ []byte) {}); err == nil {
+		if _, err := ParseFields(payload, func(_, _ []byte) {}); err == nil {
 			t.Errorf("%v: accepted", payload)
 		}
 	}
@@ -60,10 +60,10 @@
 		if _, _, _, early, err := Next(data[:size-1]); early != 0 || err != nil {
 			t.Fatal("frame accepted before it was complete", early, err)
 		}
-		if !bytes.Equal(payload, data[HeadSize:size]) {
+		if !bytes.Equal(payload, data[HeaderBytes:size]) {
 			t.Fatal("payload is not what follows the head")
 		}
-		if body, err := Fields(payload, func(_, _ []byte) {}); err == nil && !bytes.HasSuffix(payload, body) {
+		if body, err := ParseFields(payload, func(_, _ []byte) {}); err == nil && !bytes.HasSuffix(payload, body) {
 			t.Fatal("body is not the end of the payload")
 		}
 	})
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -98,11 +98,11 @@
 	return Events{response.Newest, response.Events}, nil
 }
 
-// Since replays the events with numbers above after. For each it calls beginEvent, where snapshot tells whether the event
+// ReplaySince replays the events with numbers above after. For each it calls beginEvent, where snapshot tells whether the event
 // replaces the whole membership or changes only the engines that it lists, then addEngine for each engine, then endEvent. lastRead
 // is the number of the last event read. gap reports that events are missing, so that the caller has to fetch the full list from the
 // discovery service again; reading stops at a gap, unless the event after it is a snapshot.
-func (list Events) Since(after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
+func (list Events) ReplaySince(after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
 	location logic.Location, kind logic.KindName, cell logic.Cell, state logic.Health, weight float64,
 	since time.Duration), endEvent func()) (lastRead int64, gap bool) {
 	if list.newest < after {
@@ -132,14 +132,14 @@
 // MaxConfiguredEntries is the maximum number of events, and of engines, in the list known to a configuration.
 const MaxConfiguredEntries = 1 << 16
 
-// Read parses the list known to a configuration and replays the events with numbers above after, as Since does.
-func Read(raw []byte, after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
+// Replay parses the list known to a configuration and replays the events with numbers above after, as Since does.
+func Replay(raw []byte, after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
 	location logic.Location, kind logic.KindName, cell logic.Cell, state logic.Health, weight float64,
 	since time.Duration), endEvent func()) (lastRead int64, gap bool, err error) {
 	list, err := Parse(raw, MaxConfiguredEntries)
 	if err != nil {
 		return after, false, err
 	}
-	lastRead, gap = list.Since(after, beginEvent, addEngine, endEvent)
+	lastRead, gap = list.ReplaySince(after, beginEvent, addEngine, endEvent)
 	return lastRead, gap, nil
 }
--- a/internal/listing/listing_test.go
+++ b/internal/listing/listing_test.go
@@ -37,7 +37,7 @@
 		{name: "unknown kind of event", newest: 2, after: 1, events: `{"n":2,"else":1}`, lastRead: 2},
 	} {
 		var got []string
-		lastRead, gap, err := Read(fmt.Appendf(nil, `{"n":%d,"events":[%s]}`, c.newest, c.events), c.after, func(snapshot bool) {
+		lastRead, gap, err := Replay(fmt.Appendf(nil, `{"n":%d,"events":[%s]}`, c.newest, c.events), c.after, func(snapshot bool) {
 			got = append(got, map[bool]string{true: "whole", false: "change"}[snapshot])
 		}, func(id logic.EngineID, _ string, _ logic.Location, _ logic.KindName, _ logic.Cell, state logic.Health,
 			_ float64, since time.Duration) {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -75,32 +75,32 @@
 	return 0, 0, nil
 }
 
-// AppendArray appends the header of an array of count words; the caller appends the words after it.
-func AppendArray(dst []byte, count int) []byte {
+// AppendArrayHeader appends the header of an array of count words; the caller appends the words after it.
+func AppendArrayHeader(dst []byte, count int) []byte {
 	return append(strconv.AppendInt(append(dst, '*'), int64(count), 10), "\r\n"...)
 }
 
-// AppendWord appends one word as a bulk string.
-func AppendWord(dst []byte, word string) []byte {
-	return append(append(AppendWordHead(dst, len(word)), word...), "\r\n"...)
+// AppendBulkString appends one word as a bulk string.
+func AppendBulkString(dst []byte, word string) []byte {
+	return append(append(AppendBulkStringHeader(dst, len(word)), word...), "\r\n"...)
 }
 
-// AppendWordHead appends the header of a bulk string of length bytes. The bytes and the final CR LF are left to the caller.
-func AppendWordHead(dst []byte, length int) []byte {
+// AppendBulkStringHeader appends the header of a bulk string of length bytes. The bytes and the final CR LF are left to the caller.
+func AppendBulkStringHeader(dst []byte, length int) []byte {
 	return append(strconv.AppendInt(append(dst, '$'), int64(length), 10), "\r\n"...)
 }
 
-// Fields calls visit with each pair of a list such as name=value,name=value. A list of a single dash is empty.
-func Fields(list []byte, visit func(name, value []byte)) {
+// ParsePairs calls visit with each pair of a list such as name=value,name=value. A list of a single dash is empty.
+func ParsePairs(list []byte, visit func(name, value []byte)) {
 	if len(list) == 1 && list[0] == '-' {
 		return
 	}
-	Pairs(list, ',', '=', visit)
+	ParsePairsSeparatedBy(list, ',', '=', visit)
 }
 
-// Pairs calls visit with each pair of a list, whose pairs are separated by pairSeparator, and whose names and values by
+// ParsePairsSeparatedBy calls visit with each pair of a list, whose pairs are separated by pairSeparator, and whose names and values by
 // valueSeparator. It skips elements without a valueSeparator.
-func Pairs(list []byte, pairSeparator, valueSeparator byte, visit func(name, value []byte)) {
+func ParsePairsSeparatedBy(list []byte, pairSeparator, valueSeparator byte, visit func(name, value []byte)) {
 	for len(list) > 0 {
 		var part []byte
 		if at := bytes.IndexByte(list, pairSeparator); at >= 0 {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestNext(t *testing.T) {
-	data := AppendArray(nil, 3)
+	data := AppendArrayHeader(nil, 3)
 	for _, word := range []string{"serve", "", "a\r\nb"} {
-		data = AppendWord(data, word)
+		data = AppendBulkString(data, word)
 	}
 	for n := range data {
 		if _, size, err := Next(data[:n], nil); size != 0 || err != nil {
@@ -37,9 +37,9 @@
 func TestFields(t *testing.T) {
 	var got []string
 	add := func(name, value []byte) { got = append(got, string(name)+" is "+string(value)) }
-	Fields([]byte("count=2,faulty,stats=util:0.5;queue:1"), add)
-	Fields([]byte("-"), add)
-	Pairs([]byte("util:0.5;queue:1"), ';', ':', add)
+	ParsePairs([]byte("count=2,faulty,stats=util:0.5;queue:1"), add)
+	ParsePairs([]byte("-"), add)
+	ParsePairsSeparatedBy([]byte("util:0.5;queue:1"), ';', ':', add)
 	want := []string{"count is 2", "stats is util:0.5;queue:1", "util is 0.5", "queue is 1"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -57,9 +57,9 @@
 		if _, early, err := Next(data[:size-1], nil); early != 0 || err != nil {
 			t.Fatal("array accepted before it was complete", early, err)
 		}
-		encoded := AppendArray(nil, len(words))
+		encoded := AppendArrayHeader(nil, len(words))
 		for _, word := range words {
-			encoded = AppendWord(encoded, string(word))
+			encoded = AppendBulkString(encoded, string(word))
 		}
 		if decoded, _, err := Next(encoded, nil); err != nil || !cmp.Equal(words, decoded) {
 			t.Fatal("decoding the encoded words gave other words", err)
--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Group returns the number after the last underscore in the name of a table's schema, or -1 if no schema has one. The first table
+// TableGroup returns the number after the last underscore in the name of a table's schema, or -1 if no schema has one. The first table
 // whose schema has such a number decides. A qualified name after a keyword that introduces tables takes precedence over an
 // earlier one elsewhere, which may be a column's.
-func Group(text string) int64 {
+func TableGroup(text string) int64 {
 	s := scanner{text: text}
 	firstGroup, tableExpected := int64(-1), false
 	for {
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -22,7 +22,7 @@
 		"select * from x_99999999999999999999.t":                        -1,
 		"":                                                              -1,
 	} {
-		if got := Group(text); got != want {
+		if got := TableGroup(text); got != want {
 			t.Errorf("%s: group %d, want %d", text, got, want)
 		}
 	}
@@ -32,7 +32,7 @@
 	f.Add(`select "a" from x_1.t -- b`)
 	f.Add("$$ E'\\' /* ")
 	f.Fuzz(func(t *testing.T, text string) {
-		if Group(text) < -1 {
+		if TableGroup(text) < -1 {
 			t.Fatal("group is below -1")
 		}
 	})
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -46,8 +46,8 @@
 	return listener, nil
 }
 
-// Ask connects to the status socket of a running instance and decodes its state into dst.
-func Ask(path string, dst any) error {
+// Query connects to the status socket of a running instance and decodes its state into dst.
+func Query(path string, dst any) error {
 	conn, err := net.DialTimeout("unix", path, connectionTimeout)
 	if err != nil {
 		return fmt.Errorf("status socket: %w", err)
--- a/lab/fleet/half_test.go
+++ b/lab/fleet/half_test.go
@@ -31,14 +31,14 @@
 		payload = frame.AppendField(payload, f[0], f[1])
 	}
 	payload = append(payload, "select 1"...)
-	return &frameClient{t, conn, append(frame.AppendHead(nil, frame.Job, 2, len(payload)), payload...)}
+	return &frameClient{t, conn, append(frame.AppendHeader(nil, frame.Job, 2, len(payload)), payload...)}
 }
 
 // awaitReady asks whether the process is ready, and waits for the answer.
 func (c *frameClient) awaitReady() {
 	c.t.Helper()
-	c.write(append(frame.AppendHead(nil, frame.Ready, 1, 1), 0))
-	c.awaitFrame(frame.IsReady)
+	c.write(append(frame.AppendHeader(nil, frame.ReadinessRequest, 1, 1), 0))
+	c.awaitFrame(frame.ReadinessResponse)
 }
 
 // sendFirstPart sends the first part of the job and gives the process time to read it. A job that the process reads at once would be the
@@ -65,7 +65,7 @@
 func (c *frameClient) awaitFrame(kind byte) (payload []byte) {
 	c.t.Helper()
 	for {
-		head := make([]byte, frame.HeadSize)
+		head := make([]byte, frame.HeaderBytes)
 		if _, err := io.ReadFull(c.conn, head); err != nil {
 			c.t.Fatal("no answer: ", err)
 		}
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -157,7 +157,7 @@
 
 // View queries the status socket of a member.
 func (g *MemberGroup) View(member int) (view FleetView, err error) {
-	err = status.Ask(g.statusSocket(member), &view)
+	err = status.Query(g.statusSocket(member), &view)
 	return view, err
 }
 
--- a/lab/fleet/standstill_test.go
+++ b/lab/fleet/standstill_test.go
@@ -239,7 +239,7 @@
 	}
 	p.mustSignal(t, syscall.SIGTERM)
 	for _, client := range clients {
-		client.awaitFrame(frame.NoMore)
+		client.awaitFrame(frame.Drain)
 	}
 	p.mustStop(t)
 	for n := range 8 {
--- a/lab/flood/flood.go
+++ b/lab/flood/flood.go
@@ -89,8 +89,8 @@
 	oversized := make([]byte, 9)
 	binary.BigEndian.PutUint32(oversized, 60*bytesPerMiB)
 	oversized[4] = frame.Job
-	cancels := repeatToMiB(string(frame.AppendHead(nil, frame.Gone, 1, 0)))
-	readinessChecks := repeatToMiB(string(append(frame.AppendHead(nil, frame.Ready, 1, 1), 0)))
+	cancels := repeatToMiB(string(frame.AppendHeader(nil, frame.Cancel, 1, 0)))
+	readinessChecks := repeatToMiB(string(append(frame.AppendHeader(nil, frame.ReadinessRequest, 1, 1), 0)))
 	jobFrames := func(size int) func(connection, index int) []byte {
 		statement := make([]byte, size)
 		for i := range statement {
@@ -130,7 +130,7 @@
 		payload = frame.AppendField(payload, field[0], field[1])
 	}
 	payload = append(payload, statement...)
-	return append(frame.AppendHead(nil, frame.Job, stream, len(payload)), payload...)
+	return append(frame.AppendHeader(nil, frame.Job, stream, len(payload)), payload...)
 }
 
 // Engines returns floods by engines, sent on a connection after a request has arrived on it.
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -123,7 +123,7 @@
 	p := pendingJob{id: job.ID, sentAt: time.Now(), callback: callback}
 	c.pending[c.lastStream] = p
 	// Writes under the lock because stream numbers must increase on the wire.
-	_, err := c.conn.Write(append(frame.AppendHead(nil, frame.Job, c.lastStream, len(payload)), payload...))
+	_, err := c.conn.Write(append(frame.AppendHeader(nil, frame.Job, c.lastStream, len(payload)), payload...))
 	if err != nil {
 		delete(c.pending, c.lastStream)
 		return err
@@ -169,7 +169,7 @@
 			found = true
 			delete(c.pending, stream)
 			c.cancelled[stream] = true // an answer may still arrive
-			_, _ = c.conn.Write(frame.AppendHead(nil, frame.Gone, stream, 0))
+			_, _ = c.conn.Write(frame.AppendHeader(nil, frame.Cancel, stream, 0))
 		}
 	}
 	return found
@@ -195,7 +195,7 @@
 }
 
 func (c *Client) readFrame() error {
-	header := make([]byte, frame.HeadSize)
+	header := make([]byte, frame.HeaderBytes)
 	if _, err := io.ReadFull(c.conn, header); err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 	}
 	stream := binary.BigEndian.Uint32(header[5:])
 	c.mu.Lock()
-	if header[4] == frame.NoMore {
+	if header[4] == frame.Drain {
 		c.draining = true
 	}
 	if header[4] != frame.Answer || len(payload) < 2 {
@@ -226,7 +226,7 @@
 		return nil
 	}
 	answer := Answer{Code: payload[0], Took: time.Since(p.sentAt)}
-	body, err := frame.Fields(payload[1:], func(name, value []byte) {
+	body, err := frame.ParseFields(payload[1:], func(name, value []byte) {
 		if string(name) == "after" {
 			ms, _ := strconv.Atoi(string(value))
 			answer.RetryAfter = time.Duration(ms) * time.Millisecond
--- a/lab/standin/engine/engine.go
+++ b/lab/standin/engine/engine.go
@@ -239,7 +239,7 @@
 
 // parseWait returns the field "wait" of a command: the milliseconds for which its sender waits for the answer.
 func parseWait(fields string) (wait time.Duration) {
-	resp.Fields([]byte(fields), func(name, value []byte) {
+	resp.ParsePairs([]byte(fields), func(name, value []byte) {
 		if string(name) == "wait" {
 			ms, _ := strconv.Atoi(string(value))
 			wait = time.Duration(ms) * time.Millisecond
@@ -414,9 +414,9 @@
 	if e.flooding[conn] {
 		return
 	}
-	message := resp.AppendArray(nil, len(words))
+	message := resp.AppendArrayHeader(nil, len(words))
 	for _, word := range words {
-		message = resp.AppendWord(message, word)
+		message = resp.AppendBulkString(message, word)
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(time.Second)) // a peer that does not read must not block the engine
 	_, _ = conn.Write(message)
