--- a/cmd/yarrowbarrow/demo.go
+++ b/cmd/yarrowbarrow/demo.go
@@ -38,7 +38,7 @@
 // of their capacity.
 var demoJobKinds = []load.Kind{
 	{Type: "lookup", PerSecond: 120, Work: 20 * time.Millisecond, Wait: 4 * time.Second, LatencyTarget: time.Second},
-	{Type: "load", PerSecond: 6, Work: 1200 * time.Millisecond, Wait: 15 * time.Second, LatencyTarget: 5 * time.Second, Told: true, Keyed: true},
+	{Type: "load", PerSecond: 6, Work: 1200 * time.Millisecond, Wait: 15 * time.Second, LatencyTarget: 5 * time.Second, SendCost: true, Keyed: true},
 }
 
 // demoSettings are the settings that the demo's controller gets from the platform.
@@ -71,7 +71,7 @@
 
 func (d *demoRun) crash(names ...string) {
 	for _, name := range names {
-		d.engines[name].Die()
+		d.engines[name].Crash()
 	}
 }
 
@@ -82,7 +82,7 @@
 	for _, name := range names {
 		bornMillis := int64(0)
 		if health == "active" {
-			if err := d.engines[name].Return(); err != nil {
+			if err := d.engines[name].Restart(); err != nil {
 				d.printEvent("%v", err)
 				continue
 			}
@@ -90,7 +90,7 @@
 		}
 		hosts = append(hosts, d.host(name, health, bornMillis))
 	}
-	d.discovery.Tell(false, hosts...)
+	d.discovery.Publish(false, hosts...)
 }
 
 func (c *demoCommand) Run(log *slog.Logger, out *output) error {
@@ -104,12 +104,12 @@
 	defer demo.discovery.Close()
 	var hosts []discovery.Host
 	for _, name := range demo.engineNames {
-		if demo.engines[name], err = engine.Start("127.0.0.1:0", engine.Options{Cores: 4, Cold: 5 * time.Second}); err != nil {
+		if demo.engines[name], err = engine.Start("127.0.0.1:0", engine.Options{Cores: 4, WarmUp: 5 * time.Second}); err != nil {
 			return err
 		}
 		hosts = append(hosts, demo.host(name, "active", 0))
 	}
-	demo.discovery.Tell(true, hosts...)
+	demo.discovery.Publish(true, hosts...)
 	placeholder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 	address := placeholder.Addr().String()
 	_ = placeholder.Close()
 	rawConfig, _ := json.Marshal(map[string]any{"name": "demo", "listen": address, "feed": demo.discovery.Address(), "seed": "1",
-		"known": demo.discovery.Since(0), "settings": json.RawMessage(demoSettings)})
+		"known": demo.discovery.EventsAfter(0), "settings": json.RawMessage(demoSettings)})
 	cfg, err := config.Read(rawConfig, "", "")
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 		return err
 	}
 	mix := &load.Mix{Kinds: demoJobKinds, Statement: func(_ load.Kind, work time.Duration) string {
-		return engine.Work("select * from survey_17.form", work)
+		return engine.WithWork("select * from survey_17.form", work)
 	}}
 	fmt.Fprintf(out, "serving with %s for %v: %d routes, %d engines\n", c.OperatorsFile, length, len(cfg.Plan.Routes), len(demo.engineNames))
 	finished := make(chan struct{})
@@ -253,11 +253,11 @@
 	doubled := 0
 	for _, name := range d.engineNames {
 		audit := d.engines[name].Audit()
-		doubled += audit.Doubled
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", name, audit.Taken, audit.Ran, audit.Cancelled)
+		doubled += audit.RanTwice
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", name, audit.Received, audit.Completed, audit.Cancelled)
 	}
 	_ = w.Flush()
-	fmt.Fprintf(d.out, "\n%d jobs answered twice, %d run twice on one engine\n", mix.Doubled(), doubled)
+	fmt.Fprintf(d.out, "\n%d jobs answered twice, %d run twice on one engine\n", mix.AnsweredTwice(), doubled)
 }
 
 // demoLog prints the log messages of the routes and of the decision module as events of the demo, and drops other messages below
--- a/cmd/yarrowbarrow/fleet.go
+++ b/cmd/yarrowbarrow/fleet.go
@@ -492,6 +492,6 @@
 	if err != nil {
 		return err
 	}
-	serve := serveCommand{beforeRun: func(c *controller.Controller) { c.SetModule(module, baseline.Unguarded(b.Policy)) }}
+	serve := serveCommand{beforeRun: func(c *controller.Controller) { c.SetModule(module, baseline.NeedsGuardsDisabled(b.Policy)) }}
 	return serve.Run(log)
 }
--- a/lab/baseline/broken.go
+++ b/lab/baseline/broken.go
@@ -12,8 +12,10 @@
 // has its own guards against both.
 const withoutDrainRule, withoutRepeatRule = "without-rule-3", "without-rule-2"
 
-// Unguarded tells whether a policy can break its rule only if the controller's own guards are disabled as well.
-func Unguarded(policy string) bool { return policy == withoutDrainRule || policy == withoutRepeatRule }
+// NeedsGuardsDisabled tells whether a policy can break its rule only if the controller's own guards are disabled as well.
+func NeedsGuardsDisabled(policy string) bool {
+	return policy == withoutDrainRule || policy == withoutRepeatRule
+}
 
 // settingsChanges maps each policy that breaks one rule to its change of the settings; some policies wrap the host or the module instead.
 // Each is the production module with one rule's guard removed. They are used only to prove that an audit detects violations of the rule.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -142,9 +142,9 @@
 		for _, h := range f.hosts {
 			entries = append(entries, f.listEntry(h, n%f.Rooms, "active"))
 		}
-		list.Tell(true, entries...)
+		list.Publish(true, entries...)
 		f.processes = append(f.processes, NewProcess(f.Program, folder, Setup{Name: fmt.Sprintf("n%03d", n), Listen: address,
-			Seed: strconv.FormatInt(f.Seed*1000+int64(n), 10), Discovery: list.Address(), Known: list.Since(0),
+			Seed: strconv.FormatInt(f.Seed*1000+int64(n), 10), Discovery: list.Address(), Known: list.EventsAfter(0),
 			Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, Settings: settingsJSON(f.Options, f.kinds, f.rank(n), n%f.Rooms)}, args...))
 	}
 	f.Say("starting %d controllers between %d engines", f.Controllers, f.Engines)
@@ -273,9 +273,9 @@
 		f.mu.Lock()
 		f.silentUntil[controller] = time.Since(f.startedAt) + fault.Duration
 		f.mu.Unlock()
-		f.discoveries[controller].Silent(true)
+		f.discoveries[controller].SetSilent(true)
 		sleep(ctx, fault.Duration)
-		f.discoveries[controller].Silent(false)
+		f.discoveries[controller].SetSilent(false)
 	case "late":
 		f.mu.Lock()
 		f.listDelay[controller] = fault.Duration
@@ -397,7 +397,7 @@
 	}
 	f.countViolations(&audit)
 	for _, server := range f.discoveries {
-		observations.DiscoveryCalls = append(observations.DiscoveryCalls, server.Times(f.startedAt)...)
+		observations.DiscoveryCalls = append(observations.DiscoveryCalls, server.RequestTimes(f.startedAt)...)
 	}
 	result := Result{Policy: f.Policy, Audit: audit, Figures: spread.Compute(observations), PeakMB: peakMB}
 	if f.Draw {
@@ -503,7 +503,7 @@
 	}
 	killed.Wait()
 	for _, h := range f.hosts {
-		h.engine.Die()
+		h.engine.Crash()
 		for _, r := range h.relays {
 			r.Close()
 		}
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -87,7 +87,7 @@
 	if g.discovery, err = discovery.Start("127.0.0.1:0"); err != nil {
 		return g, err
 	}
-	g.discovery.Tell(true)
+	g.discovery.Publish(true)
 	keyFile := filepath.Join(g.folder, "key")
 	if err = os.WriteFile(keyFile, []byte("a key that all instances share\n"), 0o600); err != nil {
 		return g, err
--- a/lab/fleet/members_test.go
+++ b/lab/fleet/members_test.go
@@ -103,9 +103,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Die()
-	e.Hang(true)
-	group.discovery.Tell(true, discovery.Host{Host: "e", Dial: address, Site: "room-0", Class: "std", Health: "active"})
+	defer e.Crash()
+	e.SetHanging(true)
+	group.discovery.Publish(true, discovery.Host{Host: "e", Dial: address, Site: "room-0", Class: "std", Health: "active"})
 	time.Sleep(2 * time.Second) // until all have fetched the list again
 	for n, jobs := range []int{2, 2} {
 		c, err := load.Dial(group.Processes[n].Listen)
@@ -115,7 +115,7 @@
 		defer c.Close()
 		for job := range jobs {
 			j := load.Job{Type: "report", ID: fmt.Sprintf("%08x%08x", n, job), Wait: 10 * time.Second, Statement: "select 1"}
-			if err := c.Ask(j, func(load.Answer, error) {}); err != nil {
+			if err := c.Send(j, func(load.Answer, error) {}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/lab/fleet/memory_test.go
+++ b/lab/fleet/memory_test.go
@@ -60,8 +60,8 @@
 func TestMemoryLimitUnderEngineFloods(t *testing.T) {
 	testFloods(t, flood.Engines(), func(t *testing.T, f flood.Flood, limits Limits) *Process {
 		p, list, _ := newProcessWithFakes(t, limits.Sockets, shortSettings, 0)
-		list.Tell(true, discovery.Host{Host: "e0", Dial: startFloodingPeer(t, f), Site: "east", Class: "std", Health: "active"})
-		p.Known = list.Since(0)
+		list.Publish(true, discovery.Host{Host: "e0", Dial: startFloodingPeer(t, f), Site: "east", Class: "std", Health: "active"})
+		p.Known = list.EventsAfter(0)
 		startWithLimits(t, p, limits)
 		client := newTestClient(t, p, 1)
 		for range 16 {
@@ -109,7 +109,7 @@
 	c.t.Helper()
 	c.pending.Add(1)
 	c.sent++
-	err := c.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", c.number, c.sent), Wait: time.Second, Statement: "select 1"},
+	err := c.Send(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", c.number, c.sent), Wait: time.Second, Statement: "select 1"},
 		func(load.Answer, error) { c.pending.Done() })
 	if err != nil {
 		c.t.Fatal(err)
@@ -149,7 +149,7 @@
 	var floods sync.WaitGroup
 	for _, f := range flood.Clients("quick") {
 		if f.Unread {
-			f.Times, f.Lingers, f.Deadline = 4, 8*time.Second, 10*time.Second
+			f.ChunkCount, f.Linger, f.Deadline = 4, 8*time.Second, 10*time.Second
 			floods.Add(1)
 			go func() {
 				defer floods.Done()
--- a/lab/fleet/network.go
+++ b/lab/fleet/network.go
@@ -37,7 +37,7 @@
 			return nil, err
 		}
 	}
-	options := engine.Options{Cores: f.coresOf(slot), Cold: configuredColdStart.duration, Watch: h.recorder.observe}
+	options := engine.Options{Cores: f.coresOf(slot), WarmUp: configuredColdStart.duration, Watch: h.recorder.observe}
 	if h.engine, err = engine.Start(address, options); err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 				h.drainToldAt[controller] = max(now, min(f.silentUntil[controller], now+7*time.Second))
 			}
 			f.mu.Unlock()
-			f.discoveries[controller].Tell(false, f.listEntry(h, controller%f.Rooms, health))
+			f.discoveries[controller].Publish(false, f.listEntry(h, controller%f.Rooms, health))
 		}
 		f.mu.Lock()
 		listDelay := f.listDelay[controller]
@@ -121,7 +121,7 @@
 
 // kill ends the host's process; its relays refuse connections from then on.
 func (h *host) kill() {
-	h.engine.Die()
+	h.engine.Crash()
 	for _, r := range h.relays {
 		_ = r.SetRefusing(true)
 	}
@@ -129,7 +129,7 @@
 
 // restart starts the host's process again and reopens its relays.
 func (h *host) restart() error {
-	err := h.engine.Return()
+	err := h.engine.Restart()
 	for _, r := range h.relays {
 		if err == nil {
 			err = r.SetRefusing(false)
@@ -165,7 +165,7 @@
 		f.Say("engine in slot %d is not replaced: %v", slot, err)
 		return
 	}
-	h.engine.Chill()
+	h.engine.MakeCold()
 	f.mu.Lock()
 	h.coldStartedAt = time.Since(f.startedAt)
 	f.mu.Unlock()
@@ -258,26 +258,26 @@
 			f.announce(h, "active")
 		}
 	case "hang":
-		h.engine.Hang(true)
+		h.engine.SetHanging(true)
 		sleep(ctx, fault.Duration)
-		h.engine.Hang(false)
+		h.engine.SetHanging(false)
 	case "fail":
-		h.engine.Fail(true)
+		h.engine.SetFailing(true)
 		sleep(ctx, fault.Duration)
-		h.engine.Fail(false)
+		h.engine.SetFailing(false)
 	case "babble":
-		h.engine.Flood(flood.Engines())
+		h.engine.SetFloods(flood.Engines())
 		sleep(ctx, fault.Duration)
-		h.engine.Flood(nil)
+		h.engine.SetFloods(nil)
 	case "slow":
-		h.engine.Slow(4)
+		h.engine.SetSlowdown(4)
 		sleep(ctx, fault.Duration)
-		h.engine.Slow(1)
+		h.engine.SetSlowdown(1)
 	case "flap": // slow and normal, one second each
 		for until := time.Now().Add(fault.Duration); time.Now().Before(until) && ctx.Err() == nil; {
-			h.engine.Slow(4)
+			h.engine.SetSlowdown(4)
 			sleep(ctx, time.Second)
-			h.engine.Slow(1)
+			h.engine.SetSlowdown(1)
 			sleep(ctx, time.Second)
 		}
 	case "replace":
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -131,7 +131,7 @@
 func (p *Process) setKnownList(list *discovery.Discovery) {
 	p.configMu.Lock()
 	defer p.configMu.Unlock()
-	p.Known = list.Since(0)
+	p.Known = list.EventsAfter(0)
 }
 
 // setStarting notes whether a process is starting, so that writeConfig does not truncate its configuration.
--- a/lab/fleet/seen.go
+++ b/lab/fleet/seen.go
@@ -38,17 +38,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := event.At.Sub(r.startedAt)
-	index, isOpen := r.openAttempts[event.Run]
+	index, isOpen := r.openAttempts[event.Attempt]
 	switch {
-	case event.What == engine.Dialled:
+	case event.Type == engine.Connected:
 		r.dials = append(r.dials, at)
-	case event.What == engine.Probed:
+	case event.Type == engine.Probed:
 		r.probes = append(r.probes, at)
-	case event.What == engine.Came:
-		r.openAttempts[event.Run] = len(r.attempts)
+	case event.Type == engine.Received:
+		r.openAttempts[event.Attempt] = len(r.attempts)
 		r.attempts = append(r.attempts, observedAttempt{Attempt: spread.Attempt{ArrivedAt: at, Work: event.Work}, id: event.ID, toldWait: event.Wait})
 	case !isOpen:
-	case event.What == engine.Began:
+	case event.Type == engine.Started:
 		r.attempts[index].StartedAt = at
 	default:
 		attempt := &r.attempts[index]
@@ -113,9 +113,9 @@
 		job.Type, job.Wait, job.CostMS = kind.name, kind.deadline, float64(work)/float64(time.Millisecond)
 		sent := &sentJob{controller: g.controller, kind: kind}
 		if kind.hasDedupKey {
-			job.Once = fmt.Sprintf("%016x%016x", g.rng.Uint64(), g.rng.Uint64())
+			job.IdempotencyKey = fmt.Sprintf("%016x%016x", g.rng.Uint64(), g.rng.Uint64())
 		}
-		job.Statement = engine.Work(kind.statement, work)
+		job.Statement = engine.WithWork(kind.statement, work)
 		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-ctx.Done():
@@ -140,7 +140,7 @@
 		g.sentJobs[id].abandonedAt = time.Since(g.fleet.startedAt)
 	}
 	g.mu.Unlock()
-	if open && client.Leave(id) {
+	if open && client.Cancel(id) {
 		g.pending.Done()
 	}
 }
@@ -194,7 +194,7 @@
 			g.sentOrder = append(g.sentOrder, job.ID)
 		}
 		g.mu.Unlock()
-		if client.Ask(job, func(answer load.Answer, err error) { g.handleAnswer(job, outcome, sent, retries, answer, err) }) == nil {
+		if client.Send(job, func(answer load.Answer, err error) { g.handleAnswer(job, outcome, sent, retries, answer, err) }) == nil {
 			return
 		}
 		g.mu.Lock()
@@ -225,10 +225,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fleet.KeepConnections {
-		client.Stay()
+		client.IgnoreDraining()
 	}
 	if g.client != nil {
-		g.strayAnswers += g.client.Strays()
+		g.strayAnswers += g.client.UnmatchedAnswers()
 	}
 	g.client = client
 	return client
@@ -242,7 +242,7 @@
 	defer g.mu.Unlock()
 	if err != nil {
 		now := time.Since(g.fleet.startedAt)
-		crossed := errors.Is(err, load.ErrCrossed) || g.fleet.KeepConnections &&
+		crossed := errors.Is(err, load.ErrClosedBeforeSent) || g.fleet.KeepConnections &&
 			now-sent.sentAt < crossingWindow+g.fleet.stalls.stalledBetween(sent.sentAt, now)
 		if delete(g.outcomes, job.ID); !g.lossExcused && sent.incarnation == g.incarnation && !crossed {
 			g.lost++
@@ -253,7 +253,7 @@
 	}
 	outcome.AnsweredAt = time.Since(g.fleet.startedAt)
 	outcome.Done, outcome.Rejected = answer.Code == frame.Done, answer.Code == frame.Rejected
-	outcome.InTime = outcome.Done && answer.Took <= sent.kind.sla
+	outcome.InTime = outcome.Done && answer.Latency <= sent.kind.sla
 	if outcome.Rejected && g.retriesRejected && retries < maxClientRetries {
 		job.ID = fmt.Sprintf("%s%02x%s", job.ID[:8], 0xf0+retries, job.ID[10:])
 		next := *sent
@@ -348,7 +348,7 @@
 	}
 	doubled = g.strayAnswers
 	if g.client != nil {
-		doubled += g.client.Strays()
+		doubled += g.client.UnmatchedAnswers()
 	}
 	return jobs, lost + g.lost, doubled
 }
--- a/lab/fleet/seen_test.go
+++ b/lab/fleet/seen_test.go
@@ -14,10 +14,10 @@
 	recorder := &engineRecorder{startedAt: began, openAttempts: map[int]int{}}
 	for _, e := range []struct {
 		at   time.Duration
-		what engine.What
+		what engine.EventType
 		run  int
-	}{{1, engine.Came, 1}, {1, engine.Began, 1}, {3, engine.Came, 2}, {4, engine.Dropped, 1}, {5, engine.Began, 2}, {9, engine.Ended, 2}} {
-		recorder.observe(engine.Event{At: began.Add(e.at * time.Millisecond), What: e.what, ID: "same", Run: e.run})
+	}{{1, engine.Received, 1}, {1, engine.Started, 1}, {3, engine.Received, 2}, {4, engine.Dropped, 1}, {5, engine.Started, 2}, {9, engine.Completed, 2}} {
+		recorder.observe(engine.Event{At: began.Add(e.at * time.Millisecond), Type: e.what, ID: "same", Attempt: e.run})
 	}
 	attempts, _, _ := recorder.snapshot()
 	if len(attempts) != 2 || attempts[0].closedAt != 4*time.Millisecond || attempts[1].closedAt != 9*time.Millisecond ||
--- a/lab/fleet/soak.go
+++ b/lab/fleet/soak.go
@@ -159,7 +159,7 @@
 	floods := flood.Clients(f.kinds[0].name)
 	for next := controller; time.Now().Before(deadline) && ctx.Err() == nil; next++ {
 		current := floods[next%len(floods)]
-		current.Times, current.Deadline = min(current.Times, maxFloodPieces), time.Second
+		current.ChunkCount, current.Deadline = min(current.ChunkCount, maxFloodPieces), time.Second
 		_ = current.Run(f.processes[controller].Listen) // fails while the controller is being restarted
 		sleep(ctx, 50*time.Millisecond)
 	}
@@ -186,7 +186,7 @@
 	for round := range 20 {
 		address := firstAddress
 		if round%2 == 0 && round < 18 {
-			address = f.discoveries[controller].Second()
+			address = f.discoveries[controller].SecondAddress()
 		}
 		process.reconfigure(address, round%5 == 3)
 		process.SignalIfHandled(syscall.SIGHUP)
--- a/lab/fleet/standstill_test.go
+++ b/lab/fleet/standstill_test.go
@@ -71,16 +71,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(e.Die)
+		t.Cleanup(e.Crash)
 		all, hosts = append(all, e), append(hosts, engineEntry(n, e, "active"))
 	}
-	list.Tell(true, hosts...)
+	list.Publish(true, hosts...)
 	address, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := NewProcess(program, t.TempDir(), Setup{Name: "n", Listen: address, Seed: "1", Discovery: list.Address(),
-		Known: list.Since(0), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: sockets},
+		Known: list.EventsAfter(0), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: sockets},
 		Settings: json.RawMessage(settings)})
 	t.Cleanup(p.Kill)
 	return p, list, all
@@ -118,7 +118,7 @@
 	c.t.Helper()
 	c.pending.Add(1)
 	c.sent++
-	err := c.Ask(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", c.number, c.sent), Wait: 10 * time.Second,
+	err := c.Send(load.Job{Type: "quick", ID: fmt.Sprintf("%08x%08x", c.number, c.sent), Wait: 10 * time.Second,
 		Statement: "select 1"}, func(a load.Answer, err error) {
 		defer c.pending.Done()
 		if err == nil && a.Code != frame.Done && a.Code != frame.Rejected {
@@ -295,11 +295,11 @@
 			}
 		}
 		p.mustStop(t)
-		before := engines[0].Audit().Taken
+		before := engines[0].Audit().Received
 		for _, client := range clients {
 			client.sendJob()
 		}
-		list.Tell(false, append(drainingEntries(3000), engineEntry(0, engines[0], "leaving"))...) // takes milliseconds to read
+		list.Publish(false, append(drainingEntries(3000), engineEntry(0, engines[0], "leaving"))...) // takes milliseconds to read
 		time.Sleep(400 * time.Millisecond)
 		p.mustSignal(t, syscall.SIGCONT)
 		for _, client := range clients {
@@ -307,7 +307,7 @@
 				t.Error(err)
 			}
 		}
-		if after := engines[0].Audit().Taken; after != before {
+		if after := engines[0].Audit().Received; after != before {
 			t.Errorf("round %d: %d jobs went to a draining engine", round, after-before)
 		}
 		p.Kill()
@@ -327,7 +327,7 @@
 	if err := client.awaitAnswers(); err != nil {
 		t.Fatal(err)
 	}
-	engines[0].Hang(true)
+	engines[0].SetHanging(true)
 	client.sendJob()
 	p.mustStop(t)
 	p.mustSignal(t, syscall.SIGTERM)
@@ -412,7 +412,7 @@
 			clients = append(clients, client)
 		}
 		p.mustStop(t)
-		before := engines[0].Audit().Taken
+		before := engines[0].Audit().Received
 		for _, client := range clients {
 			client.sendJob()
 			_ = client.conn.Close()
@@ -420,7 +420,7 @@
 		time.Sleep(300 * time.Millisecond)
 		p.mustSignal(t, syscall.SIGCONT)
 		time.Sleep(300 * time.Millisecond)
-		if after := engines[0].Audit().Taken; after != before {
+		if after := engines[0].Audit().Received; after != before {
 			t.Errorf("round %d: %d jobs of clients that were gone were sent to the engine", round, after-before)
 		}
 	}
--- a/lab/flood/flood.go
+++ b/lab/flood/flood.go
@@ -13,14 +13,14 @@
 
 // Flood is the traffic of a peer: a prefix, and then a repeated chunk.
 type Flood struct {
-	Name   string
-	Prefix []byte
-	Chunk  []byte
-	Times  int // number of chunks
+	Name       string
+	Prefix     []byte
+	Chunk      []byte
+	ChunkCount int // number of chunks
 	// ChunkAt, if not nil, returns the chunk to send in place of Chunk. Connections are numbered across all floods.
 	ChunkAt  func(connection, index int) []byte
 	Unread   bool          // the peer's answers are not read
-	Lingers  time.Duration // how long the connection stays open after the last chunk
+	Linger   time.Duration // how long the connection stays open after the last chunk
 	Deadline time.Duration // for the whole flood; 0: 10 s
 }
 
@@ -38,7 +38,7 @@
 	if _, err := conn.Write(f.Prefix); err != nil {
 		return
 	}
-	for index := range f.Times {
+	for index := range f.ChunkCount {
 		chunk := f.Chunk
 		if f.ChunkAt != nil {
 			chunk = f.ChunkAt(connection, index)
@@ -47,7 +47,7 @@
 			return
 		}
 	}
-	time.Sleep(min(f.Lingers, time.Until(deadline)))
+	time.Sleep(min(f.Linger, time.Until(deadline)))
 }
 
 // Run connects to address, sends the flood and discards the answers, or leaves them unread if Unread is set. The error is that of the
@@ -102,14 +102,14 @@
 	}
 	largeJob := JobFrame(class, 1, "00000000000000ff", make([]byte, 250_000))
 	return []Flood{
-		{Name: "a body of 60 MB", Prefix: oversized, Chunk: repeatToMiB("x"), Times: 60},
-		{Name: "cancels of unknown jobs", Chunk: cancels, Times: 8},
-		{Name: "readiness checks", Chunk: readinessChecks, Times: 6},
-		{Name: "readiness checks, answers left unread", Chunk: readinessChecks, Times: 10, Unread: true, Deadline: 3 * time.Second},
-		{Name: "requests of 250 kB", ChunkAt: jobFrames(250_000), Times: 80},
-		{Name: "requests without a statement", ChunkAt: jobFrames(0), Times: 20_000},
-		{Name: "a request without its last byte", Prefix: largeJob[:len(largeJob)-1], Lingers: time.Second},
-		{Name: "a request and a stray byte", Prefix: largeJob[:len(largeJob):len(largeJob)], Chunk: []byte{0}, Times: 1, Lingers: time.Second},
+		{Name: "a body of 60 MB", Prefix: oversized, Chunk: repeatToMiB("x"), ChunkCount: 60},
+		{Name: "cancels of unknown jobs", Chunk: cancels, ChunkCount: 8},
+		{Name: "readiness checks", Chunk: readinessChecks, ChunkCount: 6},
+		{Name: "readiness checks, answers left unread", Chunk: readinessChecks, ChunkCount: 10, Unread: true, Deadline: 3 * time.Second},
+		{Name: "requests of 250 kB", ChunkAt: jobFrames(250_000), ChunkCount: 80},
+		{Name: "requests without a statement", ChunkAt: jobFrames(0), ChunkCount: 20_000},
+		{Name: "a request without its last byte", Prefix: largeJob[:len(largeJob)-1], Linger: time.Second},
+		{Name: "a request and a stray byte", Prefix: largeJob[:len(largeJob):len(largeJob)], Chunk: []byte{0}, ChunkCount: 1, Linger: time.Second},
 	}
 }
 
@@ -136,12 +136,12 @@
 // Engines returns floods by engines, sent on a connection after a request has arrived on it.
 func Engines() []Flood {
 	return []Flood{
-		{Name: "an answer with a declared length of 3 GB", Prefix: []byte("*4\r\n$3221225472\r\n"), Chunk: repeatToMiB("x"), Times: 400},
-		{Name: "noise", Chunk: repeatToMiB("x"), Times: 400},
-		{Name: "unsolicited answers", Chunk: repeatToMiB("*4\r\n$1\r\nx\r\n$5\r\nFAULT\r\n$1\r\n-\r\n$0\r\n\r\n"), Times: 400},
-		{Name: "unsolicited probe answers", Chunk: repeatToMiB("*4\r\n$1\r\nx\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"), Times: 400},
-		{Name: "a long word that does not end", Prefix: []byte("*8\r\n$16384\r\n"), Chunk: make([]byte, 16_000), Times: 1,
-			Lingers: time.Second},
+		{Name: "an answer with a declared length of 3 GB", Prefix: []byte("*4\r\n$3221225472\r\n"), Chunk: repeatToMiB("x"), ChunkCount: 400},
+		{Name: "noise", Chunk: repeatToMiB("x"), ChunkCount: 400},
+		{Name: "unsolicited answers", Chunk: repeatToMiB("*4\r\n$1\r\nx\r\n$5\r\nFAULT\r\n$1\r\n-\r\n$0\r\n\r\n"), ChunkCount: 400},
+		{Name: "unsolicited probe answers", Chunk: repeatToMiB("*4\r\n$1\r\nx\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"), ChunkCount: 400},
+		{Name: "a long word that does not end", Prefix: []byte("*8\r\n$16384\r\n"), Chunk: make([]byte, 16_000), ChunkCount: 1,
+			Linger: time.Second},
 	}
 }
 
@@ -150,13 +150,13 @@
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const list = "HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n" + `{"n":9,"events":[{"n":9,"members":{"whole":true,"hosts":[`
 	return []Flood{
-		{Name: "chunks of a byte", Prefix: []byte(chunked), Chunk: repeatToMiB("1\r\nx\r\n"), Times: 100},
-		{Name: "trailers that do not end", Prefix: []byte(chunked + "0\r\n"), Chunk: repeatToMiB("A: b\r\n"), Times: 100},
-		{Name: "interim answers", Chunk: repeatToMiB("HTTP/1.1 100 C\r\n\r\n"), Times: 100},
-		{Name: "a body without a length", Prefix: []byte("HTTP/1.1 200 OK\r\n\r\n"), Chunk: repeatToMiB("x"), Times: 100},
-		{Name: "unsolicited answers", Chunk: repeatToMiB("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), Times: 100},
-		{Name: "a header that does not end", Prefix: []byte("HTTP/1.1 200 OK\r\n"), Chunk: repeatToMiB("A: b\r\n"), Times: 100},
-		{Name: "a list of many hosts", Prefix: []byte(list), ChunkAt: differingHosts, Times: 8},
-		{Name: "a list of empty hosts", Prefix: []byte(list), Chunk: repeatToMiB("{},"), Times: 8},
+		{Name: "chunks of a byte", Prefix: []byte(chunked), Chunk: repeatToMiB("1\r\nx\r\n"), ChunkCount: 100},
+		{Name: "trailers that do not end", Prefix: []byte(chunked + "0\r\n"), Chunk: repeatToMiB("A: b\r\n"), ChunkCount: 100},
+		{Name: "interim answers", Chunk: repeatToMiB("HTTP/1.1 100 C\r\n\r\n"), ChunkCount: 100},
+		{Name: "a body without a length", Prefix: []byte("HTTP/1.1 200 OK\r\n\r\n"), Chunk: repeatToMiB("x"), ChunkCount: 100},
+		{Name: "unsolicited answers", Chunk: repeatToMiB("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), ChunkCount: 100},
+		{Name: "a header that does not end", Prefix: []byte("HTTP/1.1 200 OK\r\n"), Chunk: repeatToMiB("A: b\r\n"), ChunkCount: 100},
+		{Name: "a list of many hosts", Prefix: []byte(list), ChunkAt: differingHosts, ChunkCount: 8},
+		{Name: "a list of empty hosts", Prefix: []byte(list), Chunk: repeatToMiB("{},"), ChunkCount: 8},
 	}
 }
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -17,10 +17,10 @@
 
 // Job is a request of a client. Type is the class of the job and Once its idempotency key; an empty Once or Customer is not sent.
 type Job struct {
-	Type, ID, Once, Customer string
-	Wait                     time.Duration // how long the client waits for the answer
-	CostMS                   float64       // estimated cost; 0: not sent
-	Statement                string
+	Type, ID, IdempotencyKey, Customer string
+	Wait                               time.Duration // how long the client waits for the answer
+	CostMS                             float64       // estimated cost; 0: not sent
+	Statement                          string
 }
 
 // Answer is the response to a Job.
@@ -28,7 +28,7 @@
 	Code       byte          // frame.Done, Rejected or Failed
 	RetryAfter time.Duration // how long the client should wait before a retry, or 0
 	Body       string
-	Took       time.Duration // from sending the job to reading its answer
+	Latency    time.Duration // from sending the job to reading its answer
 }
 
 // Client is one connection to a controller. Its methods are safe for concurrent use.
@@ -52,9 +52,9 @@
 	peerClosed bool // the peer had closed the connection by the time the job was written
 }
 
-// ErrCrossed reports that the peer had closed the connection before the job reached it, which the client had not noticed when it sent
+// ErrClosedBeforeSent reports that the peer had closed the connection before the job reached it, which the client had not noticed when it sent
 // the job. The peer never read the job.
-var ErrCrossed = errors.New("peer closed the connection before the job reached it")
+var ErrClosedBeforeSent = errors.New("peer closed the connection before the job reached it")
 
 // Dial connects to a controller at address and starts to read its frames.
 func Dial(address string) (*Client, error) {
@@ -67,8 +67,8 @@
 	return c, nil
 }
 
-// Stay makes the client keep sending jobs after the peer has asked for no new jobs on the connection, until the peer closes it.
-func (c *Client) Stay() {
+// IgnoreDraining makes the client keep sending jobs after the peer has asked for no new jobs on the connection, until the peer closes it.
+func (c *Client) IgnoreDraining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ignoreDraining = true
@@ -77,8 +77,8 @@
 // Close closes the connection. The callbacks of pending jobs receive an error.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Strays returns the number of answers that matched no pending or cancelled job.
-func (c *Client) Strays() int {
+// UnmatchedAnswers returns the number of answers that matched no pending or cancelled job.
+func (c *Client) UnmatchedAnswers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unmatchedAnswers
@@ -90,12 +90,12 @@
 // ErrBusy reports that all streams of a connection are in use, or that the peer has asked for no new jobs on it.
 var ErrBusy = errors.New("no free stream, or the peer accepts no new jobs on the connection")
 
-// Ask sends a job. If it returns nil, callback is called once, with the answer or with the error that ended the connection, unless Leave
+// Send sends a job. If it returns nil, callback is called once, with the answer or with the error that ended the connection, unless Leave
 // cancels the job first.
-func (c *Client) Ask(job Job, callback func(Answer, error)) error {
+func (c *Client) Send(job Job, callback func(Answer, error)) error {
 	fields := [][2]string{{"class", job.Type}, {"id", job.ID}, {"wait", strconv.FormatInt(job.Wait.Milliseconds(), 10)}}
-	if job.Once != "" {
-		fields = append(fields, [2]string{"once", job.Once})
+	if job.IdempotencyKey != "" {
+		fields = append(fields, [2]string{"once", job.IdempotencyKey})
 	}
 	if job.Customer != "" {
 		fields = append(fields, [2]string{"customer", job.Customer})
@@ -117,7 +117,7 @@
 		return ErrBusy
 	}
 	if c.closedByPeer() {
-		return ErrCrossed
+		return ErrClosedBeforeSent
 	}
 	c.lastStream++
 	p := pendingJob{id: job.ID, sentAt: time.Now(), callback: callback}
@@ -159,9 +159,9 @@
 // tcpEstablished is TCP_ESTABLISHED of tcp(7).
 const tcpEstablished byte = 1
 
-// Leave cancels a job and notifies the peer that nobody waits for it. The job's callback is not called afterwards. It returns whether the
+// Cancel cancels a job and notifies the peer that nobody waits for it. The job's callback is not called afterwards. It returns whether the
 // job was pending.
-func (c *Client) Leave(id string) (found bool) {
+func (c *Client) Cancel(id string) (found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream, p := range c.pending {
@@ -188,7 +188,7 @@
 	for _, p := range unanswered {
 		err := c.err
 		if p.peerClosed {
-			err = ErrCrossed
+			err = ErrClosedBeforeSent
 		}
 		p.callback(Answer{}, err)
 	}
@@ -225,7 +225,7 @@
 	if !found {
 		return nil
 	}
-	answer := Answer{Code: payload[0], Took: time.Since(p.sentAt)}
+	answer := Answer{Code: payload[0], Latency: time.Since(p.sentAt)}
 	body, err := frame.ParseFields(payload[1:], func(name, value []byte) {
 		if string(name) == "after" {
 			ms, _ := strconv.Atoi(string(value))
--- a/lab/load/client_test.go
+++ b/lab/load/client_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	if err := client.Ask(Job{ID: "1", Wait: time.Second}, func(Answer, error) {}); err != nil {
+	if err := client.Send(Job{ID: "1", Wait: time.Second}, func(Answer, error) {}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
@@ -42,7 +42,7 @@
 	for deadline := time.Now().Add(5 * time.Second); !client.closedByPeer() && time.Now().Before(deadline); {
 	}
 	client.mu.Unlock()
-	if err := client.Ask(Job{ID: "2", Wait: time.Second}, nil); err == nil || !errors.Is(err, ErrCrossed) && !errors.Is(err, io.EOF) {
+	if err := client.Send(Job{ID: "2", Wait: time.Second}, nil); err == nil || !errors.Is(err, ErrClosedBeforeSent) && !errors.Is(err, io.EOF) {
 		t.Error("Ask on a connection that the peer has closed: want ErrCrossed or EOF, got", err)
 	}
 }
--- a/lab/load/mix.go
+++ b/lab/load/mix.go
@@ -17,7 +17,7 @@
 	Work          time.Duration // mean core time; a job's time is uniform between 0.5 and 1.5 times this
 	Wait          time.Duration // how long the client waits for the answer
 	LatencyTarget time.Duration
-	Told          bool // whether the job carries its cost
+	SendCost      bool // whether the job carries its cost
 	Keyed         bool // whether the job carries a idempotency key, which allows repeating it
 }
 
@@ -79,16 +79,16 @@
 		}
 		work := time.Duration((0.5 + rng.Float64()) * float64(kind.Work))
 		job := Job{Type: kind.Type, ID: fmt.Sprintf("%016x", rng.Uint64()), Wait: kind.Wait, Statement: m.Statement(kind, work)}
-		if kind.Told {
+		if kind.SendCost {
 			job.CostMS = float64(work) / float64(time.Millisecond)
 		}
 		if kind.Keyed {
-			job.Once = "k" + job.ID
+			job.IdempotencyKey = "k" + job.ID
 		}
 		time.Sleep(time.Until(start.Add(offset)))
 		m.updateCount(kind.Type, func(c *Count) { c.Sent++ })
 		m.unanswered.Add(1)
-		if err := clients[number%len(clients)].Ask(job, func(answer Answer, err error) {
+		if err := clients[number%len(clients)].Send(job, func(answer Answer, err error) {
 			m.recordAnswer(kind, job.ID, answer, err)
 		}); err != nil {
 			m.recordAnswer(kind, job.ID, Answer{}, err)
@@ -109,8 +109,8 @@
 			c.Lost++
 		case answer.Code == frame.Done:
 			c.Done++
-			c.Took = append(c.Took, answer.Took)
-			if answer.Took <= kind.LatencyTarget {
+			c.Took = append(c.Took, answer.Latency)
+			if answer.Latency <= kind.LatencyTarget {
 				c.InTime++
 			}
 		case answer.Code == frame.Rejected:
@@ -135,8 +135,8 @@
 	return counts
 }
 
-// Doubled returns the number of jobs that were answered more than once.
-func (m *Mix) Doubled() (count int) {
+// AnsweredTwice returns the number of jobs that were answered more than once.
+func (m *Mix) AnsweredTwice() (count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, answers := range m.answersByJob {
--- a/lab/standin/discovery/discovery.go
+++ b/lab/standin/discovery/discovery.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Second returns a second address that serves the same events. It returns the first address if no second one can be opened.
-func (d *Discovery) Second() string {
+// SecondAddress returns a second address that serves the same events. It returns the first address if no second one can be opened.
+func (d *Discovery) SecondAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.secondListener == nil {
@@ -78,8 +78,8 @@
 // Address returns the address that the service listens on.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Times returns when the latest requests arrived, relative to from.
-func (d *Discovery) Times(from time.Time) (offsets []time.Duration) {
+// RequestTimes returns when the latest requests arrived, relative to from.
+func (d *Discovery) RequestTimes(from time.Time) (offsets []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range d.requestTimes {
@@ -91,7 +91,7 @@
 // Close stops the service and closes its connections.
 func (d *Discovery) Close() {
 	_ = d.listener.Close()
-	d.Silent(false)
+	d.SetSilent(false)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.secondListener != nil {
@@ -132,9 +132,9 @@
 	}
 }
 
-// Silent makes the service accept requests without answering them while silent is true. Requests held meanwhile are answered when it
+// SetSilent makes the service accept requests without answering them while silent is true. Requests held meanwhile are answered when it
 // ends.
-func (d *Discovery) Silent(silent bool) {
+func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if silent && !d.silent {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Tell adds an event: the complete list if complete is true, else the hosts that changed.
-func (d *Discovery) Tell(complete bool, hosts ...Host) {
+// Publish adds an event: the complete list if complete is true, else the hosts that changed.
+func (d *Discovery) Publish(complete bool, hosts ...Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	number := len(d.events) + 1
@@ -169,8 +169,8 @@
 	d.updated = make(chan struct{})
 }
 
-// Since returns the events after number lastSeen as JSON, in the format of a response and of "known" in a controller's configuration.
-func (d *Discovery) Since(lastSeen int) json.RawMessage {
+// EventsAfter returns the events after number lastSeen as JSON, in the format of a response and of "known" in a controller's configuration.
+func (d *Discovery) EventsAfter(lastSeen int) json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.eventsAfter(lastSeen)
@@ -213,5 +213,5 @@
 		}
 	}
 	d.waitWhileSilent()
-	return d.Since(lastSeen)
+	return d.EventsAfter(lastSeen)
 }
--- a/lab/standin/engine/engine.go
+++ b/lab/standin/engine/engine.go
@@ -21,40 +21,40 @@
 type Options struct {
 	Cores     int           // jobs that run at full speed, at least 1; more jobs share the cores evenly
 	MaxJobs   int           // jobs that run at once; further jobs are refused; 0: 8 per core
-	Cold      time.Duration // warm-up after a start, during which the speed rises linearly from a third to full
+	WarmUp    time.Duration // warm-up after a start, during which the speed rises linearly from a third to full
 	ResultRow string        // the single row of each result; empty: a default row
 	Watch     func(Event)   // receives each event while the engine's lock is held, so it must not call the engine; may be nil
 }
 
 // Event is one step of a job, or a connection or probe, at an engine. Connections and probes set only At and What.
 type Event struct {
-	At   time.Time
-	What What
-	ID   string        // job ID
-	Run  int           // number of the attempt, as a job may arrive again before its previous attempt is dropped
-	Work time.Duration // core time that the statement declares for the job
-	Wait time.Duration // how long the sender waits for the answer, as the command says
+	At      time.Time
+	Type    EventType
+	ID      string        // job ID
+	Attempt int           // number of the attempt, as a job may arrive again before its previous attempt is dropped
+	Work    time.Duration // core time that the statement declares for the job
+	Wait    time.Duration // how long the sender waits for the answer, as the command says
 }
 
-// What is the type of an Event.
-type What int
+// EventType is the type of an Event.
+type EventType int
 
 const (
-	Came    What = iota // a job was received
-	Began               // the job started to run
-	Ended               // the job finished and its result was sent
-	Dropped             // the job was cancelled, refused or failed, or its connection closed
-	Lost                // the job was running when the engine crashed
-	Dialled             // a connection was accepted
-	Probed              // a probe was received
+	Received    EventType = iota // a job was received
+	Started                      // the job started to run
+	Completed                    // the job finished and its result was sent
+	Dropped                      // the job was cancelled, refused or failed, or its connection closed
+	LostInCrash                  // the job was running when the engine crashed
+	Connected                    // a connection was accepted
+	Probed                       // a probe was received
 )
 
 // Audit counts what an Engine served since Start, across all its restarts.
 type Audit struct {
-	Taken, Ran, Cancelled, Doubled int // jobs received, completed and cancelled; Doubled: job IDs that completed more than once
-	Connections, Probes            int
-	CoreTime                       time.Duration // core time spent on jobs
-	LastJobAt                      time.Time     // when the latest job was received
+	Received, Completed, Cancelled, RanTwice int // jobs received, completed and cancelled; Doubled: job IDs that completed more than once
+	Connections, Probes                      int
+	CoreTime                                 time.Duration // core time spent on jobs
+	LastJobAt                                time.Time     // when the latest job was received
 }
 
 // Engine is a stand-in engine. Its methods are safe for concurrent use.
@@ -104,7 +104,7 @@
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
-	e.startedAt = time.Now().Add(-options.Cold) // warm: only restarts are cold
+	e.startedAt = time.Now().Add(-options.WarmUp) // warm: only restarts are cold
 	return e, nil
 }
 
@@ -125,7 +125,7 @@
 			if e.incarnation == incarnation {
 				e.conns[conn] = true
 				e.audit.Connections++
-				e.notify(Dialled, &activeJob{})
+				e.notify(Connected, &activeJob{})
 				go e.serve(conn, incarnation)
 			} else {
 				conn.Close()
@@ -143,15 +143,15 @@
 	return e.address
 }
 
-// Die crashes the engine as a killed process does: its connections are reset and the jobs it runs are lost.
-func (e *Engine) Die() {
+// Crash crashes the engine as a killed process does: its connections are reset and the jobs it runs are lost.
+func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.incarnation++
 	e.running = false
 	_ = e.listener.Close()
 	for _, job := range e.jobs { // notify before any peer can see its connection reset
-		e.notify(Lost, job)
+		e.notify(LostInCrash, job)
 	}
 	e.jobs = nil
 	for conn := range e.conns {
@@ -165,14 +165,14 @@
 }
 
 // notify passes an event to Options.Watch, with the lock held.
-func (e *Engine) notify(what What, job *activeJob) {
+func (e *Engine) notify(what EventType, job *activeJob) {
 	if e.options.Watch != nil {
-		e.options.Watch(Event{At: time.Now(), What: what, ID: job.id, Run: job.attempt, Work: job.work, Wait: job.wait})
+		e.options.Watch(Event{At: time.Now(), Type: what, ID: job.id, Attempt: job.attempt, Work: job.work, Wait: job.wait})
 	}
 }
 
-// Return restarts a crashed engine at the same address, cold. It does nothing if the engine is running.
-func (e *Engine) Return() error {
+// Restart restarts a crashed engine at the same address, cold. It does nothing if the engine is running.
+func (e *Engine) Restart() error {
 	e.mu.Lock()
 	running := e.running
 	e.mu.Unlock()
@@ -182,21 +182,21 @@
 	return e.listen()
 }
 
-// Slow makes jobs take factor times as long from now on; 1 is normal.
-func (e *Engine) Slow(factor float64) { e.applyChange(func() { e.slowdown = factor }) }
+// SetSlowdown makes jobs take factor times as long from now on; 1 is normal.
+func (e *Engine) SetSlowdown(factor float64) { e.applyChange(func() { e.slowdown = factor }) }
 
-// Hang makes the engine accept jobs and probes without answering them while enabled. Jobs make no progress meanwhile.
-func (e *Engine) Hang(enabled bool) { e.applyChange(func() { e.hanging = enabled }) }
+// SetHanging makes the engine accept jobs and probes without answering them while enabled. Jobs make no progress meanwhile.
+func (e *Engine) SetHanging(enabled bool) { e.applyChange(func() { e.hanging = enabled }) }
 
-// Fail makes the engine answer each new job with an error at once while enabled.
-func (e *Engine) Fail(enabled bool) { e.applyChange(func() { e.failing = enabled }) }
+// SetFailing makes the engine answer each new job with an error at once while enabled.
+func (e *Engine) SetFailing(enabled bool) { e.applyChange(func() { e.failing = enabled }) }
 
-// Flood makes the engine answer each new job with one of floods in turn. A flooded connection carries no other answer afterwards. Nil
+// SetFloods makes the engine answer each new job with one of floods in turn. A flooded connection carries no other answer afterwards. Nil
 // restores normal answers.
-func (e *Engine) Flood(floods []flood.Flood) { e.applyChange(func() { e.floods = floods }) }
+func (e *Engine) SetFloods(floods []flood.Flood) { e.applyChange(func() { e.floods = floods }) }
 
-// Chill makes the engine cold, as if it had just started.
-func (e *Engine) Chill() { e.applyChange(func() { e.startedAt = time.Now() }) }
+// MakeCold makes the engine cold, as if it had just started.
+func (e *Engine) MakeCold() { e.applyChange(func() { e.startedAt = time.Now() }) }
 
 // applyChange makes a change that affects the speed of jobs, after accounting their progress at the speed before it.
 func (e *Engine) applyChange(change func()) {
@@ -214,7 +214,7 @@
 	audit := e.audit
 	for _, count := range e.completions {
 		if count > 1 {
-			audit.Doubled++
+			audit.RanTwice++
 		}
 	}
 	return audit
@@ -311,17 +311,17 @@
 	case "serve":
 		job := &activeJob{id: args[1], conn: conn, work: parseWork(args[len(args)-1]), wait: parseWait(args[2])}
 		job.remaining = job.work
-		e.audit.Taken++
-		job.attempt = e.audit.Taken
+		e.audit.Received++
+		job.attempt = e.audit.Received
 		e.audit.LastJobAt = time.Now()
-		e.notify(Came, job)
+		e.notify(Received, job)
 		if len(e.jobs) >= e.options.MaxJobs {
 			e.notify(Dropped, job)
 			e.reply(conn, job.id, "SHED", "-", "")
 			return
 		}
 		if e.failing {
-			e.notify(Began, job)
+			e.notify(Started, job)
 			e.notify(Dropped, job)
 			e.reply(conn, job.id, "FAULT", "-", "")
 			return
@@ -329,11 +329,11 @@
 		if len(e.floods) > 0 {
 			job.remaining = floodedWork
 			e.flooding[conn] = true
-			go e.floods[e.audit.Taken%len(e.floods)].Send(conn)
+			go e.floods[e.audit.Received%len(e.floods)].Send(conn)
 		}
 		e.updateProgress()
 		e.jobs = append(e.jobs, job)
-		e.notify(Began, job)
+		e.notify(Started, job)
 		e.completeDue()
 	case "cancel":
 		e.cancelMatching(func(job *activeJob) bool { return job.id == args[1] })
@@ -356,8 +356,8 @@
 		return 0
 	}
 	rate := min(1, float64(e.options.Cores)/float64(len(e.jobs))) / e.slowdown
-	if age := time.Since(e.startedAt); age < e.options.Cold {
-		rate *= (1 + 2*float64(age)/float64(e.options.Cold)) / 3
+	if age := time.Since(e.startedAt); age < e.options.WarmUp {
+		rate *= (1 + 2*float64(age)/float64(e.options.WarmUp)) / 3
 	}
 	return rate
 }
@@ -384,8 +384,8 @@
 			return false
 		}
 		e.completions[job.id]++
-		e.audit.Ran++
-		e.notify(Ended, job)
+		e.audit.Completed++
+		e.notify(Completed, job)
 		e.reply(job.conn, job.id, "HIT", fmt.Sprintf("count=1,ticks=%d,footprint=16", max(job.work.Milliseconds(), 1)), e.options.ResultRow)
 		return true
 	})
@@ -398,7 +398,7 @@
 	}
 	minRemaining := slices.MinFunc(e.jobs, func(a, b *activeJob) int { return cmp.Compare(a.remaining, b.remaining) }).remaining
 	delay := time.Duration(float64(minRemaining)/rate) + time.Microsecond
-	if time.Since(e.startedAt) < e.options.Cold {
+	if time.Since(e.startedAt) < e.options.WarmUp {
 		delay = min(delay, coldUpdateInterval)
 	}
 	e.completionTimer = time.AfterFunc(delay, func() {
@@ -422,7 +422,7 @@
 	_, _ = conn.Write(message)
 }
 
-// Work returns the statement with a comment that makes the engine spend the given core time on it.
-func Work(statement string, work time.Duration) string {
+// WithWork returns the statement with a comment that makes the engine spend the given core time on it.
+func WithWork(statement string, work time.Duration) string {
 	return strings.TrimSpace(statement) + fmt.Sprintf(" /* work=%s */", work)
 }
