--- a/cmd/yarrowbarrow/fleet.go
+++ b/cmd/yarrowbarrow/fleet.go
@@ -48,8 +48,8 @@
 
 // options converts the flags to options of a run. Counts that are out of range are clamped.
 func (c *fleetFlags) options() (options fleet.Options, err error) {
-	options = fleet.Options{Controllers: min(max(c.Controllers, 1), 400), Engines: min(max(c.Engines, 1), 500), Cores: c.CoresPerEngine, Uneven: c.UnevenEngines,
-		Rooms: c.Rooms, Ruled: c.AllJobKinds, PerSecond: c.PerSecond, Length: c.Duration, Seed: c.Seed}
+	options = fleet.Options{Controllers: min(max(c.Controllers, 1), 400), Engines: min(max(c.Engines, 1), 500), Cores: c.CoresPerEngine, MixedCores: c.UnevenEngines,
+		Rooms: c.Rooms, ConstrainedJobs: c.AllJobKinds, JobsPerSecond: c.PerSecond, Duration: c.Duration, Seed: c.Seed}
 	for _, text := range c.Faults {
 		fault, err := fleet.ParseFault(text)
 		if err != nil {
@@ -99,7 +99,7 @@
 // run runs the fleet once with this policy and build. Messages of the run go to log.
 func (c contender) run(ctx context.Context, options fleet.Options, log io.Writer) (fleet.Result, error) {
 	options.Program, options.Policy = c.program, c.policy
-	options.Say = func(format string, args ...any) {
+	options.Logf = func(format string, args ...any) {
 		fmt.Fprintf(log, "%s, seed %d: "+format+"\n", append([]any{c.spec, options.Seed}, args...)...)
 	}
 	result, err := fleet.Run(ctx, options)
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	options.Draw = c.HTML != ""
+	options.RecordTimeline = c.HTML != ""
 	var contenders []contender
 	for _, spec := range c.Policies {
 		contender, err := parseContender(spec)
@@ -186,7 +186,7 @@
 
 // writePage writes the HTML report to the file that the flag --html names.
 func (c *playCommand) writePage(options fleet.Options, results []fleet.Result) error {
-	page := report.Page{Title: fmt.Sprintf("%d controllers, %d engines, %v", options.Controllers, options.Engines, options.Length), Faults: options.Faults,
+	page := report.Page{Title: fmt.Sprintf("%d controllers, %d engines, %v", options.Controllers, options.Engines, options.Duration), Faults: options.Faults,
 		Results: results, Command: "yarrowbarrow " + strings.Join(os.Args[1:], " ")}
 	for _, row := range fleetRows(results) {
 		pageRow := report.Row{Name: row.name}
@@ -213,31 +213,31 @@
 }
 
 // fleetFigures returns the figures that are shown for each run. The windows are those of the first result.
-func fleetFigures(results []fleet.Result) (figures []fleet.Figure) {
+func fleetFigures(results []fleet.Result) (figures []fleet.Metric) {
 	add := func(name, format string, value func(fleet.Result) float64) {
-		figures = append(figures, fleet.Figure{Name: name, Form: format, Of: value})
+		figures = append(figures, fleet.Metric{Name: name, Format: format, Value: value})
 	}
 	if len(results) > 0 {
 		for index, window := range results[0].Figures.Windows {
 			add(fmt.Sprintf("busiest engine over the mean, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Busiest })
 			add(fmt.Sprintf("idlest, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Idlest })
-			add(fmt.Sprintf("variation, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Variance })
+			add(fmt.Sprintf("variation, %v", window.Length), "%.2f", func(r fleet.Result) float64 { return r.Figures.Windows[index].Variation })
 		}
 	}
-	add("herd: variance over mean, 50ms", "%.2f", func(r fleet.Result) float64 { return r.Figures.Herd })
-	add("of the worst engine", "%.2f", func(r fleet.Result) float64 { return r.Figures.HerdMost })
-	add("surge, 50ms", "%.1f", func(r fleet.Result) float64 { return r.Figures.Surge })
+	add("herd: variance over mean, 50ms", "%.2f", func(r fleet.Result) float64 { return r.Figures.ArrivalDispersion })
+	add("of the worst engine", "%.2f", func(r fleet.Result) float64 { return r.Figures.MaxArrivalDispersion })
+	add("surge, 50ms", "%.1f", func(r fleet.Result) float64 { return r.Figures.PeakArrivals })
 	add("idle while a job was held, %", "%.2f", func(r fleet.Result) float64 { return 100 * r.Figures.Idle })
 	add("core time used, %", "%.1f", func(r fleet.Result) float64 { return 100 * r.Figures.Busy })
 	add("rejected, %", "%.2f", func(r fleet.Result) float64 { return 100 * r.Figures.Rejected })
 	add("rejected beside a free core, %", "%.2f", func(r fleet.Result) float64 { return 100 * r.Figures.Stranded })
 	add("in time, %, mean of controllers", "%.1f", func(r fleet.Result) float64 { return 100 * r.Figures.InTime })
 	add("at the worst controller", "%.1f", func(r fleet.Result) float64 { return 100 * r.Figures.Worst })
-	add("attempts a job", "%.2f", func(r fleet.Result) float64 { return r.Figures.Attempt })
+	add("attempts a job", "%.2f", func(r fleet.Result) float64 { return r.Figures.AttemptsPerJob })
 	add("dials", "%.0f", func(r fleet.Result) float64 { return float64(r.Figures.Dials.Total) })
-	add("most a second over the mean", "%.1f", func(r fleet.Result) float64 { return r.Figures.Dials.Most })
+	add("most a second over the mean", "%.1f", func(r fleet.Result) float64 { return r.Figures.Dials.MaxOverMean })
 	add("discovery calls", "%.0f", func(r fleet.Result) float64 { return float64(r.Figures.DiscoveryCalls.Total) })
-	add("most a second over the mean", "%.1f", func(r fleet.Result) float64 { return r.Figures.DiscoveryCalls.Most })
+	add("most a second over the mean", "%.1f", func(r fleet.Result) float64 { return r.Figures.DiscoveryCalls.MaxOverMean })
 	add("processor, % of a core", "%.1f", func(r fleet.Result) float64 { return 100 * r.CPU })
 	add("memory, MB", "%.1f", func(r fleet.Result) float64 { return r.Memory })
 	add("jobs", "%.0f", func(r fleet.Result) float64 { return float64(r.Figures.Jobs) })
@@ -247,7 +247,7 @@
 // fleetRows returns the rows of the result table: all figures, then what the audit counted as violations of the rules.
 func fleetRows(results []fleet.Result) (rows []fleetRow) {
 	for _, figure := range fleetFigures(results) {
-		rows = append(rows, fleetRow{figure.Name, func(r fleet.Result) string { return fmt.Sprintf(figure.Form, figure.Of(r)) }})
+		rows = append(rows, fleetRow{figure.Name, func(r fleet.Result) string { return fmt.Sprintf(figure.Format, figure.Value(r)) }})
 	}
 	addPair := func(name string, counts func(fleet.Audit) (int, int)) {
 		rows = append(rows, fleetRow{name, func(r fleet.Result) string {
@@ -337,20 +337,20 @@
 }
 
 // printComparison prints a row for each figure: both means, their difference and its interval.
-func printComparison(out *output, c *compareCommand, comparisons []fleet.Compared) {
+func printComparison(out *output, c *compareCommand, comparisons []fleet.Comparison) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%d pairs\t%s\t%s\tdifference\tin\t\t\n", c.Pairs, c.First, c.Second)
 	for _, figure := range comparisons {
 		mark := ""
-		if figure.Tells {
+		if figure.Significant {
 			mark = "*"
 		}
-		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%+.2f\t%+.2f to %+.2f\t%s\t\n", figure.Name, figure.MeanA, figure.MeanB, figure.Difference, figure.Least, figure.Most, mark)
+		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%+.2f\t%+.2f to %+.2f\t%s\t\n", figure.Name, figure.MeanA, figure.MeanB, figure.Difference, figure.CILow, figure.CIHigh, mark)
 	}
 	_ = w.Flush()
 }
 
-// daysCommand runs each policy through the named fault scenarios of fleet.Days.
+// daysCommand runs each policy through the named fault scenarios of fleet.Scenarios.
 type daysCommand struct {
 	Only     []string `name:"only" help:"Names of the days to run; all by default."`
 	Policies []string `name:"policies" default:"own,two-choices" help:"Policies, as for the command play; each runs on each day."`
@@ -371,7 +371,7 @@
 	}
 	var results []dayResult
 	rulesBroken := false
-	for _, day := range fleet.Days {
+	for _, day := range fleet.Scenarios {
 		if len(c.Only) > 0 && !slices.Contains(c.Only, day.Name) {
 			continue
 		}
@@ -408,9 +408,9 @@
 				}
 				return 0
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\t%.1f\t%d\t%.1f\t%s\n", result.Day, result.Policy, busiest(1), busiest(2), figures.Herd,
-				figures.HerdMost, 100*figures.Idle, 100*figures.Rejected, 100*figures.InTime, 100*figures.Worst, figures.Dials.Total, figures.Dials.Most, figures.DiscoveryCalls.Total,
-				figures.DiscoveryCalls.Most, rules)
+			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\t%.1f\t%d\t%.1f\t%s\n", result.Day, result.Policy, busiest(1), busiest(2), figures.ArrivalDispersion,
+				figures.MaxArrivalDispersion, 100*figures.Idle, 100*figures.Rejected, 100*figures.InTime, 100*figures.Worst, figures.Dials.Total, figures.Dials.MaxOverMean, figures.DiscoveryCalls.Total,
+				figures.DiscoveryCalls.MaxOverMean, rules)
 		}
 		err = w.Flush()
 	}
@@ -436,9 +436,9 @@
 	// An interrupt must leave nothing behind: the instances end with this process, and their folder is removed on return.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	var results []fleet.Talk
+	var results []fleet.MembershipResult
 	for _, instances := range c.Instances {
-		result, err := fleet.PlayTalk(ctx, program, min(max(instances, 2), 400), c.Period, c.Seed, func(format string, args ...any) {
+		result, err := fleet.MeasureMembership(ctx, program, min(max(instances, 2), 400), c.Period, c.Seed, func(format string, args ...any) {
 			fmt.Fprintf(out.errOut, "%d: "+format+"\n", append([]any{instances}, args...)...)
 		})
 		if err != nil {
@@ -450,7 +450,7 @@
 		return writeJSON(out, results)
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
-	addRow := func(name string, value func(fleet.Talk) string) {
+	addRow := func(name string, value func(fleet.MembershipResult) string) {
 		fmt.Fprint(w, name, "\t")
 		for _, result := range results {
 			fmt.Fprint(w, value(result), "\t")
@@ -458,16 +458,24 @@
 		fmt.Fprintln(w)
 	}
 	seconds := func(d time.Duration) string { return fmt.Sprintf("%.2f s", d.Seconds()) }
-	addRow("instances", func(result fleet.Talk) string { return fmt.Sprint(result.Instances) })
-	addRow("all known after", func(result fleet.Talk) string { return seconds(result.Formed) })
-	addRow("age of words: half, 99 of 100", func(result fleet.Talk) string { return seconds(result.AgeHalf) + ", " + seconds(result.AgeMost) })
-	addRow("datagrams, bytes a second each", func(result fleet.Talk) string { return fmt.Sprintf("%.1f, %.0f", result.Datagrams, result.Bytes) })
-	addRow("processor, % of a core; memory, MB", func(result fleet.Talk) string { return fmt.Sprintf("%.2f, %.1f", 100*result.CPU, result.Memory) })
-	addRow("loss known: first, half, all", func(result fleet.Talk) string {
-		return seconds(result.LossFirst) + ", " + seconds(result.LossHalf) + ", " + seconds(result.LossLast)
+	addRow("instances", func(result fleet.MembershipResult) string { return fmt.Sprint(result.Instances) })
+	addRow("all known after", func(result fleet.MembershipResult) string { return seconds(result.Formed) })
+	addRow("age of words: half, 99 of 100", func(result fleet.MembershipResult) string {
+		return seconds(result.AgeMedian) + ", " + seconds(result.AgeP99)
 	})
-	addRow("wrongly gone: calm, 30% loss", func(result fleet.Talk) string { return fmt.Sprintf("%d, %d", result.WrongCalm, result.WrongLossy) })
-	addRow("healed after a split", func(result fleet.Talk) string { return seconds(result.Healed) })
+	addRow("datagrams, bytes a second each", func(result fleet.MembershipResult) string {
+		return fmt.Sprintf("%.1f, %.0f", result.Datagrams, result.Bytes)
+	})
+	addRow("processor, % of a core; memory, MB", func(result fleet.MembershipResult) string {
+		return fmt.Sprintf("%.2f, %.1f", 100*result.CPU, result.Memory)
+	})
+	addRow("loss known: first, half, all", func(result fleet.MembershipResult) string {
+		return seconds(result.DetectedFirst) + ", " + seconds(result.DetectedHalf) + ", " + seconds(result.DetectedAll)
+	})
+	addRow("wrongly gone: calm, 30% loss", func(result fleet.MembershipResult) string {
+		return fmt.Sprintf("%d, %d", result.FalseGone, result.FalseGoneLossy)
+	})
+	addRow("healed after a split", func(result fleet.MembershipResult) string { return seconds(result.Healed) })
 	return w.Flush()
 }
 
--- a/cmd/yarrowbarrow/soak.go
+++ b/cmd/yarrowbarrow/soak.go
@@ -41,17 +41,17 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	failedSeeds := 0
-	err := fleet.RunSoak(ctx, program, c.FirstSeed, max(c.Seeds, 1), c.Parallel, max(c.Duration, 3*time.Second), c.Hostile, func(soaked fleet.Soaked) {
+	err := fleet.RunSoak(ctx, program, c.FirstSeed, max(c.Seeds, 1), c.Parallel, max(c.Duration, 3*time.Second), c.Hostile, func(soaked fleet.SoakResult) {
 		options, result := soaked.Options, soaked.Result
 		fmt.Fprintf(out, "seed %d: %d controllers of %d, %d engines, %d jobs, %.0f%% in time, %.1f%% of a core each, peak %.0f MB", soaked.Seed, options.Controllers,
-			max(options.Settled, options.Controllers), options.Engines, result.Figures.Jobs, 100*result.Figures.InTime, 100*result.CPU, result.PeakMB)
+			max(options.ConfiguredControllers, options.Controllers), options.Engines, result.Figures.Jobs, 100*result.Figures.InTime, 100*result.CPU, result.PeakMB)
 		if !result.Audit.Broken() {
 			fmt.Fprintln(out)
 			return
 		}
 		failedSeeds++
 		fmt.Fprintf(out, "\n  broken: %+v\n", result.Audit)
-		for _, line := range soaked.Said {
+		for _, line := range soaked.LogLines {
 			fmt.Fprintln(out, "  "+line)
 		}
 	})
--- a/lab/fleet/compare.go
+++ b/lab/fleet/compare.go
@@ -7,34 +7,34 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Figure is a quantity by which runs are compared.
-type Figure struct {
-	Name string
-	Form string // fmt verb for the value
-	Of   func(Result) float64
+// Metric is a quantity by which runs are compared.
+type Metric struct {
+	Name   string
+	Format string // fmt verb for the value
+	Value  func(Result) float64
 }
 
-// Compared is the comparison of a figure between two variants, A and B, that were run in pairs on the same seeds.
-type Compared struct {
-	Name       string    `json:"name"`
-	A, B       []float64 `json:"-"`
-	MeanA      float64   `json:"a"`
-	MeanB      float64   `json:"b"`
-	Difference float64   `json:"difference"` // MeanB - MeanA
-	Pairs      int       `json:"pairs"`
-	Least      float64   `json:"least"` // lower bound of the 95% confidence interval of the difference
-	Most       float64   `json:"most"`  // its upper bound
-	Tells      bool      `json:"tells"` // the difference is significant: the interval does not contain 0
+// Comparison is the comparison of a figure between two variants, A and B, that were run in pairs on the same seeds.
+type Comparison struct {
+	Name        string    `json:"name"`
+	A, B        []float64 `json:"-"`
+	MeanA       float64   `json:"a"`
+	MeanB       float64   `json:"b"`
+	Difference  float64   `json:"difference"` // MeanB - MeanA
+	Pairs       int       `json:"pairs"`
+	CILow       float64   `json:"least"` // lower bound of the 95% confidence interval of the difference
+	CIHigh      float64   `json:"most"`  // its upper bound
+	Significant bool      `json:"tells"` // the difference is significant: the interval does not contain 0
 }
 
 // Compare compares the runs of two variants pair by pair: it returns the mean of the differences and its confidence interval by Student's
 // t-distribution, which assumes that differences are roughly normally distributed. A single pair has no interval.
-func Compare(a, b []Result, figures []Figure) (all []Compared) {
+func Compare(a, b []Result, figures []Metric) (all []Comparison) {
 	for _, f := range figures {
-		c := Compared{Name: f.Name}
+		c := Comparison{Name: f.Name}
 		var differences []float64
 		for n := range min(len(a), len(b)) {
-			c.A, c.B = append(c.A, f.Of(a[n])), append(c.B, f.Of(b[n]))
+			c.A, c.B = append(c.A, f.Value(a[n])), append(c.B, f.Value(b[n]))
 			differences = append(differences, c.B[n]-c.A[n])
 		}
 		if len(differences) == 0 {
@@ -42,11 +42,11 @@
 		}
 		c.MeanA, c.MeanB, c.Difference = stat.Mean(c.A, nil), stat.Mean(c.B, nil), stat.Mean(differences, nil)
 		c.Pairs = len(differences)
-		c.Least, c.Most = c.Difference, c.Difference
+		c.CILow, c.CIHigh = c.Difference, c.Difference
 		if n := float64(len(differences)); n > 1 {
 			margin := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(differences, nil) / math.Sqrt(n)
-			c.Least, c.Most = c.Difference-margin, c.Difference+margin
-			c.Tells = c.Least > 0 || c.Most < 0
+			c.CILow, c.CIHigh = c.Difference-margin, c.Difference+margin
+			c.Significant = c.CILow > 0 || c.CIHigh < 0
 		}
 		all = append(all, c)
 	}
--- a/lab/fleet/days.go
+++ b/lab/fleet/days.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Day is a named scenario: faults that operators have seen, one or several in sequence, for fifteen seconds of load.
-type Day struct {
+// Scenario is a named scenario: faults that operators have seen, one or several in sequence, for fifteen seconds of load.
+type Scenario struct {
 	Name   string
 	Rooms  int
 	Ruled  bool
@@ -14,8 +14,8 @@
 	Script []string // faults as ParseFault reads them
 }
 
-// Days are the standard scenarios.
-var Days = []Day{
+// Scenarios are the standard scenarios.
+var Scenarios = []Scenario{
 	{Name: "calm"},
 	{Name: "uneven", Uneven: true},
 	{Name: "hot", Script: []string{"hot:0.01@2s/12s"}},
@@ -47,8 +47,8 @@
 }
 
 // Options returns o with the faults and the other settings of the scenario.
-func (d Day) Options(o Options) (Options, error) {
-	o.Rooms, o.Ruled, o.Uneven = max(d.Rooms, o.Rooms), o.Ruled || d.Ruled, o.Uneven || d.Uneven
+func (d Scenario) Options(o Options) (Options, error) {
+	o.Rooms, o.ConstrainedJobs, o.MixedCores = max(d.Rooms, o.Rooms), o.ConstrainedJobs || d.Ruled, o.MixedCores || d.Uneven
 	o.Faults = nil
 	for _, text := range d.Script {
 		f, err := ParseFault(text)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -20,22 +20,22 @@
 
 // Options configure a run.
 type Options struct {
-	Program         string // path of the program: without arguments it serves, with "baseline NAME" it plays a baseline policy
-	Policy          string // name of a baseline policy, or "" for the program's own decisions
-	Controllers     int
-	Settled         int // number of controllers in the settings, if those that run play a part of a larger fleet; 0: Controllers
-	Engines         int
-	Cores           int           // of each engine
-	Uneven          bool          // every third engine has twice the cores
-	Rooms           int           // number of rooms, over which controllers and engines are distributed round-robin
-	Ruled           bool          // also send jobs that rules on repeats and placement apply to
-	PerSecond       float64       // mean job rate of a controller
-	Length          time.Duration // of the load
-	Seed            int64
-	Faults          []Fault
-	KeepConnections bool                             // clients use open connections until the controller closes them or is killed
-	Draw            bool                             // also record a timeline for plots
-	Say             func(format string, args ...any) // receives log messages; nil: none
+	Program               string // path of the program: without arguments it serves, with "baseline NAME" it plays a baseline policy
+	Policy                string // name of a baseline policy, or "" for the program's own decisions
+	Controllers           int
+	ConfiguredControllers int // number of controllers in the settings, if those that run play a part of a larger fleet; 0: Controllers
+	Engines               int
+	Cores                 int           // of each engine
+	MixedCores            bool          // every third engine has twice the cores
+	Rooms                 int           // number of rooms, over which controllers and engines are distributed round-robin
+	ConstrainedJobs       bool          // also send jobs that rules on repeats and placement apply to
+	JobsPerSecond         float64       // mean job rate of a controller
+	Duration              time.Duration // of the load
+	Seed                  int64
+	Faults                []Fault
+	KeepConnections       bool                             // clients use open connections until the controller closes them or is killed
+	RecordTimeline        bool                             // also record a timeline for plots
+	Logf                  func(format string, args ...any) // receives log messages; nil: none
 }
 
 // Result is the outcome of a run.
@@ -47,7 +47,7 @@
 	Memory  float64        `json:"memory_mb"` // resident at the end, mean of the same controllers
 	PeakMB  float64        `json:"peak_mb"`   // highest resident memory of any process
 
-	Picture *spread.Timeline `json:"picture,omitempty"` // if Options.Draw is set
+	Timeline *spread.Timeline `json:"picture,omitempty"` // if Options.RecordTimeline is set
 }
 
 // fleet is a run in progress.
@@ -80,9 +80,9 @@
 // was cancelled.
 func Run(ctx context.Context, o Options) (Result, error) {
 	o.Controllers, o.Engines, o.Cores, o.Rooms = max(o.Controllers, 1), max(o.Engines, 1), max(o.Cores, 1), max(o.Rooms, 1)
-	o.Settled = max(o.Settled, o.Controllers)
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	o.ConfiguredControllers = max(o.ConfiguredControllers, o.Controllers)
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
 	folder, err := os.MkdirTemp("", "fleet")
 	if err != nil {
@@ -91,7 +91,7 @@
 	defer os.RemoveAll(folder)
 	f := &fleet{Options: o, rng: rand.New(rand.NewSource(o.Seed)), startedAt: time.Now(), restarted: map[int]bool{},
 		listDelay: map[int]time.Duration{}, silentUntil: map[int]time.Duration{}, kinds: plainKinds()}
-	if o.Ruled {
+	if o.ConstrainedJobs {
 		f.kinds = constrainedKinds()
 	}
 	for _, fault := range o.Faults {
@@ -147,7 +147,7 @@
 			Seed: strconv.FormatInt(f.Seed*1000+int64(n), 10), Discovery: list.Address(), Known: list.EventsAfter(0),
 			Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, Settings: settingsJSON(f.Options, f.kinds, f.rank(n), n%f.Rooms)}, args...))
 	}
-	f.Say("starting %d controllers between %d engines", f.Controllers, f.Engines)
+	f.Logf("starting %d controllers between %d engines", f.Controllers, f.Engines)
 	errs := make(chan error, len(f.processes))
 	startSlots := make(chan bool, 2*runtime.NumCPU()) // limits how many start at once
 	for _, p := range f.processes {
@@ -174,16 +174,16 @@
 	f.logMu.Lock()
 	defer f.logMu.Unlock()
 	if !f.logClosed {
-		f.Say(format, args...)
+		f.Logf(format, args...)
 	}
 }
 
 // rank returns the rank of a controller among those in the settings. Running controllers are spread evenly over the ranks.
-func (f *fleet) rank(controller int) int { return controller * f.Settled / f.Controllers }
+func (f *fleet) rank(controller int) int { return controller * f.ConfiguredControllers / f.Controllers }
 
 // runLoad sends jobs for the length of the run and injects the faults.
 func (f *fleet) runLoad(ctx context.Context, loadStart time.Duration) {
-	loadCtx, cancel := context.WithTimeout(ctx, f.Length)
+	loadCtx, cancel := context.WithTimeout(ctx, f.Duration)
 	defer cancel()
 	// Rates follow a lognormal distribution, as traffic between offices does: some controllers get several times the mean.
 	const rateSigma = 0.7
@@ -194,7 +194,7 @@
 	}
 	for n, p := range f.processes {
 		g := &clientGroup{fleet: f, controller: n, process: p, rng: rand.New(rand.NewSource(f.Seed*7919 + int64(n))),
-			jobsPerSecond: rates[n] / rateSum * float64(f.Controllers) * f.PerSecond, outcomes: map[string]*spread.Job{}, sentJobs: map[string]*sentJob{}}
+			jobsPerSecond: rates[n] / rateSum * float64(f.Controllers) * f.JobsPerSecond, outcomes: map[string]*spread.Job{}, sentJobs: map[string]*sentJob{}}
 		f.clients = append(f.clients, g)
 	}
 	for _, fault := range f.Faults {
@@ -207,7 +207,7 @@
 			select {
 			case <-loadCtx.Done():
 			case <-time.After(fault.At - (time.Since(f.startedAt) - loadStart)):
-				f.Say("%s", fault)
+				f.Logf("%s", fault)
 				f.injectFault(loadCtx, fault, targets, rng)
 			}
 		}()
@@ -298,7 +298,7 @@
 	for until := time.Now().Add(fault.Duration); time.Now().Before(until) && ctx.Err() == nil; {
 		targets := fault.pickTargets(rng, f.Controllers)
 		for _, n := range targets {
-			f.clients[n].setRate(10 * f.PerSecond)
+			f.clients[n].setRate(10 * f.JobsPerSecond)
 		}
 		sleep(ctx, time.Second)
 		for _, n := range targets {
@@ -325,7 +325,7 @@
 		select {
 		case <-process.Ended():
 		case <-time.After(10 * time.Second):
-			f.Say("%s did not exit within 10 s of SIGTERM", process.Name)
+			f.Logf("%s did not exit within 10 s of SIGTERM", process.Name)
 		}
 	}
 	process.Kill()
@@ -334,7 +334,7 @@
 		f.mu.Lock()
 		f.crashes++
 		f.mu.Unlock()
-		f.Say("%v", err)
+		f.Logf("%v", err)
 	}
 	f.clients[controller].excuseLosses(false)
 	f.clients[controller].setOutOfRotation(false)
@@ -362,12 +362,12 @@
 		audit.Unbidden += unrequested
 		if peakMB = max(peakMB, peak); peak > float64(p.Limits.MemoryMB) {
 			audit.OverMemory++
-			f.Say("%s used %.1f MB of memory, limit %d MB", p.Name, peak, p.Limits.MemoryMB)
+			f.Logf("%s used %.1f MB of memory, limit %d MB", p.Name, peak, p.Limits.MemoryMB)
 		}
 	}
 	arrivedAt := map[string]time.Duration{}
 	observed := evidence{sentJobs: map[string]*sentJob{}, hosts: f.hosts, restarted: f.restarted, breached: map[int]bool{},
-		slack: f.slack(), stalls: &f.stalls, budget: configuredBudget, cold: configuredColdStart, dedupWindow: dedupWindow, logf: f.Say}
+		slack: f.slack(), stalls: &f.stalls, budget: configuredBudget, cold: configuredColdStart, dedupWindow: dedupWindow, logf: f.Logf}
 	if f.useRelays { // a message that cancels an attempt may be delayed on its link
 		observed.overlapTolerance = observed.slack
 	}
@@ -393,15 +393,15 @@
 	}
 	observed.checkRules(&audit)
 	for n := range observed.breached {
-		f.Say("log of %s, in a run that started at %v:\n%s", f.processes[n].Name, f.startedAt.UTC().Format(time.RFC3339Nano), f.processes[n].Log())
+		f.Logf("log of %s, in a run that started at %v:\n%s", f.processes[n].Name, f.startedAt.UTC().Format(time.RFC3339Nano), f.processes[n].Log())
 	}
 	f.countViolations(&audit)
 	for _, server := range f.discoveries {
 		observations.DiscoveryCalls = append(observations.DiscoveryCalls, server.RequestTimes(f.startedAt)...)
 	}
 	result := Result{Policy: f.Policy, Audit: audit, Figures: spread.Compute(observations), PeakMB: peakMB}
-	if f.Draw {
-		result.Picture = spread.NewTimeline(observations)
+	if f.RecordTimeline {
+		result.Timeline = spread.NewTimeline(observations)
 	}
 	if result.Policy == "" {
 		result.Policy = "own"
@@ -411,7 +411,7 @@
 		cpu, memoryMB, err := usage(p.PID())
 		if err != nil {
 			result.Audit.Crashes++
-			f.Say("%s has exited: %v\n%s", p.Name, p.Err(), p.Log())
+			f.Logf("%s has exited: %v\n%s", p.Name, p.Err(), p.Log())
 			continue
 		}
 		if !f.restarted[n] {
@@ -428,7 +428,7 @@
 
 // coresOf returns the number of cores of the engine in a slot.
 func (f *fleet) coresOf(slot int) int {
-	if f.Uneven && slot%3 == 2 {
+	if f.MixedCores && slot%3 == 2 {
 		return 2 * f.Cores
 	}
 	return f.Cores
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -12,9 +12,9 @@
 // runSmallFleet runs a small fleet and fails the test if a rule is broken, or if an engine got no work or the run hardly any jobs.
 func runSmallFleet(t *testing.T, o Options) Result {
 	t.Helper()
-	o.Program, o.Controllers, o.Engines, o.Cores, o.PerSecond = program, 8, 3, 2, 6
-	if o.Say = t.Logf; o.Length == 0 {
-		o.Length = 3 * time.Second
+	o.Program, o.Controllers, o.Engines, o.Cores, o.JobsPerSecond = program, 8, 3, 2, 6
+	if o.Logf = t.Logf; o.Duration == 0 {
+		o.Duration = 3 * time.Second
 	}
 	r, err := Run(context.Background(), o)
 	if err != nil {
@@ -34,12 +34,12 @@
 func TestFleet(t *testing.T) {
 	runSmallFleet(t, Options{Seed: 1})
 	runSmallFleet(t, Options{Seed: 1, Policy: "random"})
-	runSmallFleet(t, Options{Seed: 2, Length: 5 * time.Second, Faults: []Fault{
+	runSmallFleet(t, Options{Seed: 2, Duration: 5 * time.Second, Faults: []Fault{
 		{Name: "kill", Share: 0.5, At: time.Second},
 		{Name: "stop", Share: 0.4, At: 1500 * time.Millisecond, Duration: time.Second},
 		{Name: "hang", Share: 0.3, At: 2 * time.Second, Duration: time.Second},
 	}})
-	runSmallFleet(t, Options{Seed: 3, Length: 5 * time.Second, Faults: []Fault{
+	runSmallFleet(t, Options{Seed: 3, Duration: 5 * time.Second, Faults: []Fault{
 		{Name: "term", Share: 0.3, At: time.Second},
 		{Name: "die", Share: 0.3, At: 1200 * time.Millisecond, Duration: time.Second},
 	}})
@@ -107,22 +107,22 @@
 		}
 		return all
 	}
-	figures := []Figure{{Name: "in time", Of: func(r Result) float64 { return r.Figures.InTime }}}
+	figures := []Metric{{Name: "in time", Value: func(r Result) float64 { return r.Figures.InTime }}}
 	better := Compare(runs(0.90, 0.92, 0.94), runs(0.93, 0.95, 0.975), figures)[0]
-	if !better.Tells || better.Difference < 0.03 || better.Least < 0.02 || better.Most > 0.045 {
+	if !better.Significant || better.Difference < 0.03 || better.CILow < 0.02 || better.CIHigh > 0.045 {
 		t.Errorf("%+v", better)
 	}
-	if none := Compare(runs(0.90, 0.92, 0.94), runs(0.93, 0.90, 0.94), figures)[0]; none.Tells || none.Least > 0 || none.Most < 0 {
+	if none := Compare(runs(0.90, 0.92, 0.94), runs(0.93, 0.90, 0.94), figures)[0]; none.Significant || none.CILow > 0 || none.CIHigh < 0 {
 		t.Errorf("%+v", none)
 	}
-	if one := Compare(runs(0.9), runs(0.8), figures)[0]; one.Tells || one.Pairs != 1 {
+	if one := Compare(runs(0.9), runs(0.8), figures)[0]; one.Significant || one.Pairs != 1 {
 		t.Errorf("%+v", one)
 	}
 }
 
 // TestDays checks that the scripts of all scenarios can be parsed, and that faults which separate rooms have at least two rooms.
 func TestDays(t *testing.T) {
-	for _, d := range Days {
+	for _, d := range Scenarios {
 		if o, err := d.Options(Options{}); err != nil || len(o.Faults) != len(d.Script) {
 			t.Error(d.Name, err)
 		}
--- a/lab/fleet/kinds.go
+++ b/lab/fleet/kinds.go
@@ -75,7 +75,7 @@
 "permissions":{"connect_timeout":250000000,"idle_close":15000000000,"max_attempts":3,"max_retry_after":1000000000,
 "may_cancel":true,"probes":true,"retry_after":true,"streams_per_conn":32,"open_cap":20000},
 "safety":{"cold":%d,"fall":%d,"start_capacity":%g,"tip_multiple":%g,"drain_grace":%d,"key_quiet":300000000,
-"budget_window":%d,"extra_floor":%g,"extra_per_request":%g}}`, o.Settled, rank, roomName(room), classes, o.Cores, 2*o.Cores, widths,
+"budget_window":%d,"extra_floor":%g,"extra_per_request":%g}}`, o.ConfiguredControllers, rank, roomName(room), classes, o.Cores, 2*o.Cores, widths,
 		configuredColdStart.duration, configuredColdStart.loadWindow, configuredColdStart.startCapacity, configuredColdStart.overloadFactor,
 		drainGrace, configuredBudget.window, configuredBudget.base, configuredBudget.perJob))
 }
--- a/lab/fleet/members.go
+++ b/lab/fleet/members.go
@@ -217,28 +217,28 @@
 	_ = os.RemoveAll(g.folder)
 }
 
-// Talk holds the measurements of PlayTalk, a run of instances that exchange membership messages.
-type Talk struct {
-	Instances  int           `json:"instances"`
-	Period     time.Duration `json:"period_ns"`
-	Formed     time.Duration `json:"formed_ns"`    // from the last start until every instance reports all others alive
-	AgeHalf    time.Duration `json:"age_half_ns"`  // age of what an instance knows of another without faults: median over all pairs
-	AgeMost    time.Duration `json:"age_p99_ns"`   // 99th percentile
-	Datagrams  float64       `json:"datagrams_ps"` // per second and instance, as Bytes
-	Bytes      float64       `json:"bytes_ps"`
-	CPU        float64       `json:"cpu_share"`     // of one core, per instance
-	Memory     float64       `json:"memory_mb"`     // resident, mean of the instances
-	LossFirst  time.Duration `json:"loss_first_ns"` // from a kill until the first instance detects it, until half of them and until all do
-	LossHalf   time.Duration `json:"loss_half_ns"`
-	LossLast   time.Duration `json:"loss_last_ns"`
-	WrongCalm  int           `json:"wrong_calm"`  // pairs in which a live instance is reported gone, without faults
-	WrongLossy int           `json:"wrong_lossy"` // the same at 30% loss, summed over all queries
-	Healed     time.Duration `json:"healed_ns"`   // from the end of a split into halves until all report all others alive
+// MembershipResult holds the measurements of MeasureMembership, a run of instances that exchange membership messages.
+type MembershipResult struct {
+	Instances      int           `json:"instances"`
+	Period         time.Duration `json:"period_ns"`
+	Formed         time.Duration `json:"formed_ns"`    // from the last start until every instance reports all others alive
+	AgeMedian      time.Duration `json:"age_half_ns"`  // age of what an instance knows of another without faults: median over all pairs
+	AgeP99         time.Duration `json:"age_p99_ns"`   // 99th percentile
+	Datagrams      float64       `json:"datagrams_ps"` // per second and instance, as Bytes
+	Bytes          float64       `json:"bytes_ps"`
+	CPU            float64       `json:"cpu_share"`     // of one core, per instance
+	Memory         float64       `json:"memory_mb"`     // resident, mean of the instances
+	DetectedFirst  time.Duration `json:"loss_first_ns"` // from a kill until the first instance detects it, until half of them and until all do
+	DetectedHalf   time.Duration `json:"loss_half_ns"`
+	DetectedAll    time.Duration `json:"loss_last_ns"`
+	FalseGone      int           `json:"wrong_calm"`  // pairs in which a live instance is reported gone, without faults
+	FalseGoneLossy int           `json:"wrong_lossy"` // the same at 30% loss, summed over all queries
+	Healed         time.Duration `json:"healed_ns"`   // from the end of a split into halves until all report all others alive
 }
 
-// PlayTalk starts count instances and measures them without faults, then kills one, then loses 30% of datagrams, and then splits the
+// MeasureMembership starts count instances and measures them without faults, then kills one, then loses 30% of datagrams, and then splits the
 // instances into halves.
-func PlayTalk(ctx context.Context, program string, count int, period time.Duration, seed int64, say func(string, ...any)) (r Talk, err error) {
+func MeasureMembership(ctx context.Context, program string, count int, period time.Duration, seed int64, say func(string, ...any)) (r MembershipResult, err error) {
 	group, err := StartMembers(program, count, period, seed)
 	if err != nil {
 		return r, err
@@ -272,13 +272,13 @@
 		for _, m := range s.Members {
 			ages = append(ages, m.Age)
 			if m.Status == "gone" {
-				r.WrongCalm++
+				r.FalseGone++
 			}
 		}
 	}
 	slices.Sort(ages)
 	if len(ages) > 0 {
-		r.AgeHalf, r.AgeMost = ages[len(ages)/2], ages[len(ages)*99/100]
+		r.AgeMedian, r.AgeP99 = ages[len(ages)/2], ages[len(ages)*99/100]
 	}
 	killed := count / 2
 	others := slices.Concat(all[:killed], all[killed+1:])
@@ -288,18 +288,18 @@
 	for detected := 0; detected < len(others) && time.Since(start) < timeout; time.Sleep(period / 10) {
 		detected = group.CountStatuses(others, []int{killed})["gone"]
 		now := time.Since(start)
-		if detected > 0 && r.LossFirst == 0 {
-			r.LossFirst = now
+		if detected > 0 && r.DetectedFirst == 0 {
+			r.DetectedFirst = now
 		}
-		if 2*detected >= len(others) && r.LossHalf == 0 {
-			r.LossHalf = now
+		if 2*detected >= len(others) && r.DetectedHalf == 0 {
+			r.DetectedHalf = now
 		}
-		r.LossLast = now
+		r.DetectedAll = now
 	}
 	say("losing three in ten datagrams")
 	group.Mesh.SetLinks(func(_, _ string) relay.Link { return relay.Link{Loss: 0.3} })
 	for until := time.Now().Add(2 * calmLength); time.Now().Before(until); time.Sleep(period) {
-		r.WrongLossy += group.CountStatuses(others, others)["gone"]
+		r.FalseGoneLossy += group.CountStatuses(others, others)["gone"]
 	}
 	say("splitting the instances into halves")
 	group.Mesh.SetLinks(func(from, to string) relay.Link {
--- a/lab/fleet/network.go
+++ b/lab/fleet/network.go
@@ -162,7 +162,7 @@
 	}
 	h, err := f.addEngine(slot, address)
 	if err != nil {
-		f.Say("engine in slot %d is not replaced: %v", slot, err)
+		f.Logf("engine in slot %d is not replaced: %v", slot, err)
 		return
 	}
 	h.engine.MakeCold()
@@ -252,7 +252,7 @@
 			f.mu.Unlock()
 		}
 		if err := h.restart(); err != nil {
-			f.Say("%s can't be restarted: %v", h.name, err)
+			f.Logf("%s can't be restarted: %v", h.name, err)
 		}
 		if announced {
 			f.announce(h, "active")
--- a/lab/fleet/report/report.go
+++ b/lab/fleet/report/report.go
@@ -73,9 +73,9 @@
 		Plots []plots
 	}{Page: p}
 	for _, r := range p.Results {
-		if r.Picture != nil {
-			data.Plots = append(data.Plots, plots{r.Policy, engineHeatmap(r.Picture, p.Faults), outcomeBars(r.Picture, p.Faults),
-				controllerScatter(r.Picture), callLines(r.Picture, p.Faults)})
+		if r.Timeline != nil {
+			data.Plots = append(data.Plots, plots{r.Policy, engineHeatmap(r.Timeline, p.Faults), outcomeBars(r.Timeline, p.Faults),
+				controllerScatter(r.Timeline), callLines(r.Timeline, p.Faults)})
 		}
 	}
 	return parsedTemplate().Execute(w, data)
--- a/lab/fleet/rules_test.go
+++ b/lab/fleet/rules_test.go
@@ -14,34 +14,34 @@
 		broken func(Audit) int
 		change func(*Options)
 	}{
-		{"without-rule-1", func(a Audit) int { return a.Lost }, func(o *Options) { o.PerSecond = 40 }},
+		{"without-rule-1", func(a Audit) int { return a.Lost }, func(o *Options) { o.JobsPerSecond = 40 }},
 		// Rule 7 limits repeats to a fifth of the jobs that engines did not refuse as faulty, so engines fail only after six seconds of
 		// service. One repeat in seventeen is of a job that must not run twice, about a dozen in all.
 		{"without-rule-2", func(a Audit) int { return a.Repeated }, func(o *Options) {
-			o.PerSecond, o.Length, o.Engines = 100, 8*time.Second, 8
+			o.JobsPerSecond, o.Duration, o.Engines = 100, 8*time.Second, 8
 			o.Faults = []Fault{{Name: "fail", Share: 1, At: 6 * time.Second, Duration: 2 * time.Second}}
 		}},
 		{"without-rule-3", func(a Audit) int { return a.Drained }, func(o *Options) {
-			o.Length = 5 * time.Second
+			o.Duration = 5 * time.Second
 			o.Faults = []Fault{{Name: "replace", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
 		// Rule 4: the program without this rule still has its other limits, so the random policy is used.
 		{"random", func(a Audit) int { return a.Felled }, func(o *Options) {
-			o.Length, o.PerSecond = 4*time.Second, 60
+			o.Duration, o.JobsPerSecond = 4*time.Second, 60
 			o.Faults = []Fault{{Name: "lose", Share: 0.5, At: 500 * time.Millisecond, Duration: 500 * time.Millisecond}}
 		}},
 		// One job in seventeen must run in a certain room.
-		{"without-rule-6", func(a Audit) int { return a.Strayed }, func(o *Options) { o.PerSecond = 30 }},
+		{"without-rule-6", func(a Audit) int { return a.Strayed }, func(o *Options) { o.JobsPerSecond = 30 }},
 		{"without-rule-7", func(a Audit) int { return a.Excess }, func(o *Options) {
-			o.PerSecond = 16
+			o.JobsPerSecond = 16
 			o.Faults = []Fault{{Name: "fail", Share: 1, At: 500 * time.Millisecond, Duration: 2 * time.Second}}
 		}},
 	} {
 		t.Run(c.policy, func(t *testing.T) {
 			t.Parallel()
 			for _, policy := range []string{"", c.policy} {
-				o := Options{Program: program, Policy: policy, Controllers: 6, Engines: 4, Cores: 2, Rooms: 2, PerSecond: 8, Ruled: true,
-					Length: 3 * time.Second, Seed: 5, Say: t.Logf}
+				o := Options{Program: program, Policy: policy, Controllers: 6, Engines: 4, Cores: 2, Rooms: 2, JobsPerSecond: 8, ConstrainedJobs: true,
+					Duration: 3 * time.Second, Seed: 5, Logf: t.Logf}
 				c.change(&o)
 				r, err := Run(context.Background(), o)
 				if err != nil {
@@ -63,8 +63,8 @@
 	for _, what := range []string{"cut", "deaf", "mute", "silent", "delay", "reset", "thin"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			r, err := Run(context.Background(), Options{Program: program, Controllers: 6, Engines: 4, Cores: 2, Rooms: 2, PerSecond: 8,
-				Length: 4 * time.Second, Seed: 7, Ruled: true, Say: t.Logf,
+			r, err := Run(context.Background(), Options{Program: program, Controllers: 6, Engines: 4, Cores: 2, Rooms: 2, JobsPerSecond: 8,
+				Duration: 4 * time.Second, Seed: 7, ConstrainedJobs: true, Logf: t.Logf,
 				Faults: []Fault{{Name: what, Share: 0.5, At: time.Second, Duration: 1500 * time.Millisecond}}})
 			if err != nil {
 				t.Fatal(err)
--- a/lab/fleet/soak.go
+++ b/lab/fleet/soak.go
@@ -19,13 +19,13 @@
 // the earliest time that the protocol allows. The audit checks the invariants. Each kind of fault is equally likely.
 func Soak(seed int64, length time.Duration) Options {
 	rng := rand.New(rand.NewSource(seed))
-	options := Options{Seed: seed, Length: length, Controllers: 10 + rng.Intn(31), Ruled: true,
-		KeepConnections: true, Rooms: 1 + rng.Intn(3), Uneven: rng.Intn(4) == 0}
+	options := Options{Seed: seed, Duration: length, Controllers: 10 + rng.Intn(31), ConstrainedJobs: true,
+		KeepConnections: true, Rooms: 1 + rng.Intn(3), MixedCores: rng.Intn(4) == 0}
 	options.Engines = []int{5, 8, 16, 40, 400, 1200}[rng.Intn(6)]
 	if rng.Intn(3) == 0 {
-		options.Settled = []int{100, 300, 900}[rng.Intn(3)]
+		options.ConfiguredControllers = []int{100, 300, 900}[rng.Intn(3)]
 	}
-	options.PerSecond = 160 / float64(options.Controllers)
+	options.JobsPerSecond = 160 / float64(options.Controllers)
 	options.Cores = max(int(math.Ceil(1.6*soakMeanCores/float64(options.Engines))), 1)
 	options.Faults = DrawFaults(seed, 4+rng.Intn(6), length)
 	// Every run terminates controllers, and in half of the runs engines hang from shortly before that until the controllers have ended.
@@ -43,47 +43,47 @@
 func (o *Options) addHostileFaults() {
 	rng := rand.New(rand.NewSource(o.Seed ^ 0x5eed))
 	draw := func(name string, share float64, maxExtra time.Duration) {
-		at := (o.Length/10 + time.Duration(rng.Int63n(int64(o.Length)*6/10))).Round(100 * time.Millisecond)
-		length := (o.Length/20 + time.Duration(rng.Int63n(int64(maxExtra)))).Round(100 * time.Millisecond)
+		at := (o.Duration/10 + time.Duration(rng.Int63n(int64(o.Duration)*6/10))).Round(100 * time.Millisecond)
+		length := (o.Duration/20 + time.Duration(rng.Int63n(int64(maxExtra)))).Round(100 * time.Millisecond)
 		o.Faults = append(o.Faults, Fault{Name: name, Share: share * (0.5 + rng.Float64()), At: at, Duration: length})
 	}
-	draw("flood", 0.2, o.Length/4)
-	draw("signals", 0.3, o.Length/3)
+	draw("flood", 0.2, o.Duration/4)
+	draw("signals", 0.3, o.Duration/3)
 	if rng.Intn(2) == 0 {
-		draw("babble", 0.15, o.Length/6)
+		draw("babble", 0.15, o.Duration/6)
 	}
 	if rng.Intn(3) == 0 {
-		draw("crowd", 0.3, o.Length/3)
+		draw("crowd", 0.3, o.Duration/3)
 	}
 }
 
-// Soaked is the result of one run of a soak.
-type Soaked struct {
-	Seed    int64
-	Options Options
-	Result  Result
-	Said    []string // log messages of the rig, to explain violations
+// SoakResult is the result of one run of a soak.
+type SoakResult struct {
+	Seed     int64
+	Options  Options
+	Result   Result
+	LogLines []string // log messages of the rig, to explain violations
 }
 
 // RunSoak runs seeds from first on, up to parallel of them at a time, and calls each with every result, one call at a time. It returns the
 // first error. With hostile, runs also have the faults of addHostileFaults.
-func RunSoak(ctx context.Context, program string, first int64, seeds, parallel int, length time.Duration, hostile bool, each func(Soaked)) error {
+func RunSoak(ctx context.Context, program string, first int64, seeds, parallel int, length time.Duration, hostile bool, each func(SoakResult)) error {
 	runSlots, results := make(chan bool, max(parallel, 1)), make(chan error, seeds)
 	var eachMu sync.Mutex
 	for n := range seeds {
 		go func() {
 			runSlots <- true
 			defer func() { <-runSlots }()
-			s := Soaked{Seed: first + int64(n), Options: Soak(first+int64(n), length)}
+			s := SoakResult{Seed: first + int64(n), Options: Soak(first+int64(n), length)}
 			var saidMu sync.Mutex
 			s.Options.Program = program
 			if hostile {
 				s.Options.addHostileFaults()
 			}
-			s.Options.Say = func(format string, args ...any) {
+			s.Options.Logf = func(format string, args ...any) {
 				saidMu.Lock()
 				defer saidMu.Unlock()
-				s.Said = append(s.Said, fmt.Sprintf(format, args...))
+				s.LogLines = append(s.LogLines, fmt.Sprintf(format, args...))
 			}
 			var err error
 			if s.Result, err = Run(ctx, s.Options); err == nil {
@@ -127,7 +127,7 @@
 			}
 			return
 		case <-kill:
-			f.Say("%s did not exit in time and will be killed", process.Name)
+			f.Logf("%s did not exit in time and will be killed", process.Name)
 			return
 		case <-signalTicker.C:
 		}
@@ -173,7 +173,7 @@
 	f.mu.Lock()
 	f.crashes++
 	f.mu.Unlock()
-	f.Say(format, args...)
+	f.Logf(format, args...)
 }
 
 // reloadRepeatedly has a controller reload its configuration again and again. About half of the configurations move discovery to another
@@ -233,7 +233,7 @@
 			broken := strings.Contains(line, "invariant violated") && (f.clients[n].standstillTime == 0 || !strings.Contains(line, "answered_overdue"))
 			if broken || strings.Contains(line, "msg=panic") || strings.Contains(line, "fatal error") {
 				a.Violated++
-				f.Say("%s: %s", p.Name, strings.TrimSpace(line))
+				f.Logf("%s: %s", p.Name, strings.TrimSpace(line))
 			}
 		}
 	}
--- a/lab/fleet/spread/spread.go
+++ b/lab/fleet/spread/spread.go
@@ -47,36 +47,36 @@
 
 // Window describes how evenly work arrived at engines in windows of one length: means over the windows in which any work arrived.
 type Window struct {
-	Length   time.Duration `json:"length_ns"`
-	Busiest  float64       `json:"busiest"`   // work of the busiest engine, relative to the mean
-	Idlest   float64       `json:"idlest"`    // work of the least busy engine, relative to the mean
-	Variance float64       `json:"variation"` // coefficient of variation of the work across engines
+	Length    time.Duration `json:"length_ns"`
+	Busiest   float64       `json:"busiest"`   // work of the busiest engine, relative to the mean
+	Idlest    float64       `json:"idlest"`    // work of the least busy engine, relative to the mean
+	Variation float64       `json:"variation"` // coefficient of variation of the work across engines
 }
 
 // Peak describes a rate across the fleet: the number of events, and the maximum per second relative to the mean.
 type Peak struct {
-	Total int     `json:"total"`
-	Most  float64 `json:"most_over_mean"`
+	Total       int     `json:"total"`
+	MaxOverMean float64 `json:"most_over_mean"`
 }
 
 // Figures are the measurements of a run.
 type Figures struct {
-	Windows        []Window `json:"windows"`
-	Herd           float64  `json:"herd"`      // variance over mean of the arrivals at an engine per 50 ms, mean of all engines; 1 for random arrivals
-	HerdMost       float64  `json:"herd_most"` // the same for the worst engine
-	Surge          float64  `json:"surge"`     // maximum of the arrivals at an engine in 50 ms, relative to its mean
-	Idle           float64  `json:"idle"`      // share of engine time with a free core while a controller held a job
-	Busy           float64  `json:"busy"`      // share of core time used
-	Stranded       float64  `json:"stranded"`  // share of jobs rejected while an engine had a free core
-	Rejected       float64  `json:"rejected"`  // share of jobs rejected
-	InTime         float64  `json:"in_time"`   // share of jobs done in time, mean of controllers
-	Worst          float64  `json:"worst"`     // share of jobs done in time at the worst controller
-	Lost           int      `json:"lost"`      // jobs that were not answered
-	Jobs           int      `json:"jobs"`      // jobs sent in the measured span
-	Attempt        float64  `json:"attempts"`  // attempts per job
-	Dials          Peak     `json:"dials"`
-	Probes         Peak     `json:"probes"`
-	DiscoveryCalls Peak     `json:"discovery_calls"`
+	Windows              []Window `json:"windows"`
+	ArrivalDispersion    float64  `json:"herd"`      // variance over mean of the arrivals at an engine per 50 ms, mean of all engines; 1 for random arrivals
+	MaxArrivalDispersion float64  `json:"herd_most"` // the same for the worst engine
+	PeakArrivals         float64  `json:"surge"`     // maximum of the arrivals at an engine in 50 ms, relative to its mean
+	Idle                 float64  `json:"idle"`      // share of engine time with a free core while a controller held a job
+	Busy                 float64  `json:"busy"`      // share of core time used
+	Stranded             float64  `json:"stranded"`  // share of jobs rejected while an engine had a free core
+	Rejected             float64  `json:"rejected"`  // share of jobs rejected
+	InTime               float64  `json:"in_time"`   // share of jobs done in time, mean of controllers
+	Worst                float64  `json:"worst"`     // share of jobs done in time at the worst controller
+	Lost                 int      `json:"lost"`      // jobs that were not answered
+	Jobs                 int      `json:"jobs"`      // jobs sent in the measured span
+	AttemptsPerJob       float64  `json:"attempts"`  // attempts per job
+	Dials                Peak     `json:"dials"`
+	Probes               Peak     `json:"probes"`
+	DiscoveryCalls       Peak     `json:"discovery_calls"`
 }
 
 // herdWindow is shorter than a typical job and longer than messages take.
@@ -97,7 +97,7 @@
 			f.Windows = append(f.Windows, o.workBalance(length))
 		}
 	}
-	f.Herd, f.HerdMost, f.Surge = o.arrivalDispersion()
+	f.ArrivalDispersion, f.MaxArrivalDispersion, f.PeakArrivals = o.arrivalDispersion()
 	f.Dials, f.Probes, f.DiscoveryCalls = o.peakRate(o.Dials), o.peakRate(o.Probes), o.peakRate(o.DiscoveryCalls)
 	o.countJobs(&f)
 	o.measureIdle(&f)
@@ -158,10 +158,10 @@
 		windows++
 		w.Busiest += slices.Max(work) / mean
 		w.Idlest += slices.Min(work) / mean
-		w.Variance += deviation / mean
+		w.Variation += deviation / mean
 	}
 	if windows > 0 {
-		w.Busiest, w.Idlest, w.Variance = w.Busiest/windows, w.Idlest/windows, w.Variance/windows
+		w.Busiest, w.Idlest, w.Variation = w.Busiest/windows, w.Idlest/windows, w.Variation/windows
 	}
 	return w
 }
@@ -235,7 +235,7 @@
 	}
 	if f.Jobs > 0 {
 		f.Rejected /= float64(f.Jobs)
-		f.Attempt = float64(attempts) / float64(f.Jobs)
+		f.AttemptsPerJob = float64(attempts) / float64(f.Jobs)
 	}
 }
 
--- a/lab/fleet/spread/spread_test.go
+++ b/lab/fleet/spread/spread_test.go
@@ -30,20 +30,20 @@
 	roundRobin := Compute(arrivalsBy(4, func(n int) int { return n % 4 }))
 	checkNear(t, "busiest in turn", roundRobin.Windows[1].Busiest, 1, 0.01)
 	checkNear(t, "idlest in turn", roundRobin.Windows[1].Idlest, 1, 0.01)
-	checkNear(t, "herd in turn", roundRobin.Herd, 0, 0.01)
+	checkNear(t, "herd in turn", roundRobin.ArrivalDispersion, 0, 0.01)
 	single := Compute(arrivalsBy(4, func(int) int { return 2 }))
 	checkNear(t, "busiest with all at one", single.Windows[1].Busiest, 4, 0.01)
 	checkNear(t, "idlest with all at one", single.Windows[1].Idlest, 0, 0)
-	checkNear(t, "variation with all at one", single.Windows[2].Variance, math.Sqrt(3), 0.01)
+	checkNear(t, "variation with all at one", single.Windows[2].Variation, math.Sqrt(3), 0.01)
 	rng := rand.New(rand.NewSource(1))
 	random := arrivalsBy(4, func(int) int { return rng.Intn(4) })
 	for n := range random.Attempts { // random times too, otherwise the sum over engines would be fixed
 		random.Attempts[n].ArrivedAt = time.Duration(rng.Int63n(int64(20 * time.Second)))
 	}
-	checkNear(t, "herd at random", Compute(random).Herd, 1, 0.1)
+	checkNear(t, "herd at random", Compute(random).ArrivalDispersion, 1, 0.1)
 	// In herds: for a tenth of a second at a time, all arrivals are at one engine.
-	if herd := Compute(arrivalsBy(4, func(n int) int { return n / 40 % 4 })); herd.Herd < 5 || herd.Surge < 3.9 {
-		t.Error(herd.Herd, herd.Surge)
+	if herd := Compute(arrivalsBy(4, func(n int) int { return n / 40 % 4 })); herd.ArrivalDispersion < 5 || herd.PeakArrivals < 3.9 {
+		t.Error(herd.ArrivalDispersion, herd.PeakArrivals)
 	}
 }
 
@@ -74,7 +74,7 @@
 func TestPeak(t *testing.T) {
 	o := Observations{From: time.Second, To: 5 * time.Second, Engines: 1, CoresPerEngine: 1, Controllers: 1,
 		Dials: []time.Duration{0, 1100 * ms, 1200 * ms, 1300 * ms, 4 * time.Second, 6 * time.Second}}
-	if peak := Compute(o).Dials; peak.Total != 4 || peak.Most != 3 {
+	if peak := Compute(o).Dials; peak.Total != 4 || peak.MaxOverMean != 3 {
 		t.Error(peak)
 	}
 }
--- a/lab/fleet/thousands_test.go
+++ b/lab/fleet/thousands_test.go
@@ -17,8 +17,8 @@
 }
 
 func replaceThousands(t *testing.T, settled int) {
-	r, err := Run(context.Background(), Options{Program: program, Controllers: 4, Settled: settled, Engines: 3200, Cores: 1, PerSecond: 15,
-		Length: 7 * time.Second, Seed: 1, Say: t.Logf, Faults: []Fault{
+	r, err := Run(context.Background(), Options{Program: program, Controllers: 4, ConfiguredControllers: settled, Engines: 3200, Cores: 1, JobsPerSecond: 15,
+		Duration: 7 * time.Second, Seed: 1, Logf: t.Logf, Faults: []Fault{
 			{Name: "replace", Share: 0.5, At: time.Second, Duration: 3 * time.Second},
 			{Name: "term", Share: 0.25, At: 2 * time.Second},
 			{Name: "kill", Share: 0.25, At: 3 * time.Second},
