--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -14,7 +14,7 @@
 	Answer            = 101 // controller: the outcome of a job
 	Cancel            = 102 // client: no longer waits for a job
 	ReadinessRequest  = 110 // client: asks whether jobs are accepted
-	ReadinessResponse = 111 // controller: answers Ready
+	ReadinessResponse = 111 // controller: answers ReadinessRequest
 	Drain             = 120 // controller: asks the client to send no more jobs on this connection
 	HeaderBytes       = 9
 )
--- a/internal/listing/listing.go
+++ b/internal/listing/listing.go
@@ -132,7 +132,7 @@
 // MaxConfiguredEntries is the maximum number of events, and of engines, in the list known to a configuration.
 const MaxConfiguredEntries = 1 << 16
 
-// Replay parses the list known to a configuration and replays the events with numbers above after, as Since does.
+// Replay parses the list known to a configuration and replays the events with numbers above after, as ReplaySince does.
 func Replay(raw []byte, after int64, beginEvent func(snapshot bool), addEngine func(id logic.EngineID, address string,
 	location logic.Location, kind logic.KindName, cell logic.Cell, state logic.Health, weight float64,
 	since time.Duration), endEvent func()) (lastRead int64, gap bool, err error) {
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -15,7 +15,7 @@
 	"yarrowbarrow/internal/frame"
 )
 
-// Job is a request of a client. Type is the class of the job and Once its idempotency key; an empty Once or Customer is not sent.
+// Job is a request of a client. Type is the class of the job and IdempotencyKey makes retries safe; an empty IdempotencyKey or Customer is not sent.
 type Job struct {
 	Type, ID, IdempotencyKey, Customer string
 	Wait                               time.Duration // how long the client waits for the answer
@@ -90,7 +90,7 @@
 // ErrBusy reports that all streams of a connection are in use, or that the peer has asked for no new jobs on it.
 var ErrBusy = errors.New("no free stream, or the peer accepts no new jobs on the connection")
 
-// Send sends a job. If it returns nil, callback is called once, with the answer or with the error that ended the connection, unless Leave
+// Send sends a job. If it returns nil, callback is called once, with the answer or with the error that ended the connection, unless Cancel
 // cancels the job first.
 func (c *Client) Send(job Job, callback func(Answer, error)) error {
 	fields := [][2]string{{"class", job.Type}, {"id", job.ID}, {"wait", strconv.FormatInt(job.Wait.Milliseconds(), 10)}}
--- a/lab/standin/discovery/discovery.go
+++ b/lab/standin/discovery/discovery.go
@@ -29,7 +29,7 @@
 
 // Discovery is a stand-in discovery service. Its methods are safe for concurrent use.
 type Discovery struct {
-	listener, secondListener net.Listener // secondListener is nil until Second is called
+	listener, secondListener net.Listener // secondListener is nil until SecondAddress is called
 
 	mu           sync.Mutex
 	conns        map[net.Conn]bool
--- a/lab/standin/engine/engine.go
+++ b/lab/standin/engine/engine.go
@@ -26,7 +26,7 @@
 	Watch     func(Event)   // receives each event while the engine's lock is held, so it must not call the engine; may be nil
 }
 
-// Event is one step of a job, or a connection or probe, at an engine. Connections and probes set only At and What.
+// Event is one step of a job, or a connection or probe, at an engine. Connections and probes set only At and Type.
 type Event struct {
 	At      time.Time
 	Type    EventType
@@ -51,7 +51,7 @@
 
 // Audit counts what an Engine served since Start, across all its restarts.
 type Audit struct {
-	Received, Completed, Cancelled, RanTwice int // jobs received, completed and cancelled; Doubled: job IDs that completed more than once
+	Received, Completed, Cancelled, RanTwice int // jobs received, completed and cancelled; RanTwice: job IDs that completed more than once
 	Connections, Probes                      int
 	CoreTime                                 time.Duration // core time spent on jobs
 	LastJobAt                                time.Time     // when the latest job was received
