--- a/config/settings.go
+++ b/config/settings.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"yarrowbarrow/decide/limit"
+	"yarrowbarrow/decide/slowness"
 	"yarrowbarrow/decide/spread"
-	"yarrowbarrow/decide/thin"
 	"yarrowbarrow/logic"
 )
 
@@ -165,17 +165,17 @@
 	return limitsAdapter{limit.New(limitSettings)}
 }
 
-// slownessAdapter adapts the estimates of decide/thin to the types of package logic.
-type slownessAdapter struct{ *thin.Estimator }
+// slownessAdapter adapts the estimates of decide/slowness to the types of package logic.
+type slownessAdapter struct{ *slowness.Estimator }
 
 func (s slownessAdapter) Engine(location logic.Location, kind logic.KindName) logic.EngineSlowness {
-	return s.Estimator.Engine(thin.Location(location), thin.Kind(kind))
+	return s.Estimator.Engine(slowness.Location(location), slowness.Kind(kind))
 }
 
 // NewModule creates the decision module. decide/spread assigns its subset of engines, decide/limit enforces its limits, and
-// decide/thin estimates the slowness of engines from few answers.
+// decide/slowness estimates the slowness of engines from few answers.
 func NewModule(host logic.Host, settings logic.Settings, seed int64) *logic.Controller {
-	settings.Limits, settings.Slowness = newLimits(settings), slownessAdapter{thin.New()}
+	settings.Limits, settings.Slowness = newLimits(settings), slownessAdapter{slowness.New()}
 	settings.Order = func(candidates []logic.Candidate, size int) []logic.Candidate {
 		engines, candidateByID := make([]spread.Engine, len(candidates)),
 			make(map[spread.EngineID]logic.Candidate, len(candidates))
--- a/decide/thin/thin.go
+++ b/decide/slowness/thin.go
@@ -1,4 +1,4 @@
-// Package thin estimates how slow each engine is from sparse data, as one controller of a large fleet gets only few answers from
+// Package slowness estimates how slow each engine is from sparse data, as one controller of a large fleet gets only few answers from
 // each engine. An engine's own answers are pooled with those of similar engines (same location and kind) and of all engines. The
 // weights follow from the observed variances: if engines differ little compared with the noise of single answers, the estimate
 // relies on the pooled answers; an engine that does differ is recognized after a few answers. It does no I/O and reads no clock.
@@ -6,7 +6,7 @@
 // Slowness is a latency divided by the best latency, so 1 or more. Tests compare the estimate with an engine's own mean, the mean
 // of all engines and a pooled estimate of fixed weight: if all engines are alike, if one in eight is slow, and if one location
 // is slow, the error is close to that of the best of these.
-package thin
+package slowness
 
 import (
 	"math"
--- a/decide/thin/thin_test.go
+++ b/decide/slowness/thin_test.go
@@ -1,4 +1,4 @@
-package thin
+package slowness
 
 import (
 	"fmt"
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"yarrowbarrow/decide/limit"
-	"yarrowbarrow/decide/thin"
+	"yarrowbarrow/decide/slowness"
 )
 
 var update = flag.Bool("update", false, "rewrite the expected traces in testdata; review them before committing")
@@ -81,15 +81,15 @@
 		BudgetWindow: s.BudgetWindow, BudgetFloor: s.BudgetFloor, BudgetShare: s.BudgetShare,
 		StartCapacity: s.StartCapacity, ColdPeriod: s.ColdPeriod, CollapseMultiple: s.CollapseMultiple, CollapsePeriod: s.CollapsePeriod})}
 	s.Limits.(limitsAdapter).Limits.TakeCustomerShare(0, "") // the limits' time starts here, as if the process had run for some time
-	s.Slowness = slownessAdapter{thin.New()}
+	s.Slowness = slownessAdapter{slowness.New()}
 	h.c = New(h, s, 1)
 }
 
-// slownessAdapter adapts decide/thin to Slowness.
-type slownessAdapter struct{ *thin.Estimator }
+// slownessAdapter adapts decide/slowness to Slowness.
+type slownessAdapter struct{ *slowness.Estimator }
 
 func (s slownessAdapter) Engine(l Location, k KindName) EngineSlowness {
-	return s.Estimator.Engine(thin.Location(l), thin.Kind(k))
+	return s.Estimator.Engine(slowness.Location(l), slowness.Kind(k))
 }
 
 // limitsAdapter adapts decide/limit to Limits, with no limit on customers' shares.
--- a/logic/host.go
+++ b/logic/host.go
@@ -130,7 +130,7 @@
 	Engine(cores float64) EngineLimit
 }
 
-// Slowness estimates the slowness of engines from few answers, by pooling those of similar engines. Package decide/thin
+// Slowness estimates the slowness of engines from few answers, by pooling those of similar engines. Package decide/slowness
 // implements it.
 type Slowness interface {
 	// Engine returns the estimate for a newly listed engine.
