--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"yarrowbarrow/config"
+	"yarrowbarrow/decide/counters"
 	"yarrowbarrow/decide/member"
-	"yarrowbarrow/decide/tally"
 	"yarrowbarrow/internal/status"
 	"yarrowbarrow/member/gossip"
 )
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fleetTally := tally.New(member.Name(cfg.Name), member.Generation(time.Now().UnixNano()), fleet.MaxMembers)
+	fleetTally := counters.New(member.Name(cfg.Name), member.Generation(time.Now().UnixNano()), fleet.MaxMembers)
 	node, err = gossip.Start(gossip.Config{Piggyback: map[byte]member.Piggyback{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), AdvertiseAddress: fleet.AdvertiseAddress, Seeds: fleet.SeedAddresses,
 		KeyFile: fleet.KeyFile, Period: fleet.ProbePeriod, MaxMembers: fleet.MaxMembers, MaxBytesPerSecond: fleet.MaxBytesPerSecond}, log.With("fleet", fleet.Name))
 	if err != nil {
@@ -44,7 +44,7 @@
 	go func() {
 		for range ticker.C {
 			jobs := countOpenJobs()
-			node.DoLocked(func(time.Duration) { fleetTally.Set(tally.Key{Kind: openJobsKey}, tally.Value(jobs)) })
+			node.DoLocked(func(time.Duration) { fleetTally.Set(counters.Key{Kind: openJobsKey}, counters.Value(jobs)) })
 		}
 	}()
 	var statusListener net.Listener
@@ -98,7 +98,7 @@
 }
 
 // currentView takes a snapshot of the membership and of the tally.
-func currentView(node *gossip.Gossip, fleetTally *tally.Tally) fleetView {
+func currentView(node *gossip.Gossip, fleetTally *counters.Tally) fleetView {
 	view := node.View()
 	var present []member.Name
 	for _, m := range view.Members {
@@ -106,9 +106,9 @@
 			present = append(present, m.Name)
 		}
 	}
-	var sum tally.Sum
+	var sum counters.Sum
 	node.DoLocked(func(now time.Duration) {
-		sum = fleetTally.Sum(now, tally.Key{Kind: openJobsKey}, view.MaxFreshAge, present, 0)
+		sum = fleetTally.Sum(now, counters.Key{Kind: openJobsKey}, view.MaxFreshAge, present, 0)
 	})
 	result := fleetView{Name: string(view.Own.Name), StartTime: int64(view.Own.Generation), Incarnation: view.Own.Incarnation, Contact: view.Contact.String(), ContactAge: view.ContactFor,
 		Members: []memberView{}, BrokenLinks: [][2]string{}, Counts: view.Counts,
--- a/decide/tally/tally.go
+++ b/decide/counters/tally.go
@@ -1,4 +1,4 @@
-// Package tally aggregates counters over a fleet by gossip. They are for information only: instances, open jobs, work in progress.
+// Package counters aggregates counters over a fleet by gossip. They are for information only: instances, open jobs, work in progress.
 // Each instance sends its own counters and passes on the newest ones that it has of others. Sums are returned with bounds and an
 // age, and do not depend on the arrival of any particular message. The package does no I/O and reads no clock.
 //
@@ -10,7 +10,7 @@
 //
 // Ages are upper bounds, as in decide/member: what arrives in an answer was sent after the question, and what it relays of other
 // instances had then the age that it states. Counters that arrive unsolicited are stored, but do not change the known age.
-package tally
+package counters
 
 import (
 	"cmp"
--- a/decide/tally/tally_test.go
+++ b/decide/counters/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package counters
 
 import (
 	"flag"
