--- a/controller/controller.go
+++ b/controller/controller.go
@@ -19,9 +19,9 @@
 	"yarrowbarrow/config"
 	"yarrowbarrow/decide/admission"
 	"yarrowbarrow/decide/invariant"
+	"yarrowbarrow/decide/polling"
 	"yarrowbarrow/decide/route"
 	"yarrowbarrow/decide/spread"
-	"yarrowbarrow/decide/watch"
 	"yarrowbarrow/logic"
 )
 
@@ -105,7 +105,7 @@
 		engines: map[logic.EngineID]*engine{}, engineByAddress: map[string]*engine{}, activeEngines: map[logic.EngineID]*engine{}, probes: map[string]*probe{},
 		fences: map[string]*attempt{}}
 	c.newModule = func(h logic.Host, s logic.Settings, seed int64) logic.Module { return config.NewModule(h, s, seed) }
-	c.discovery = &discovery{c: c, address: cfg.Discovery, pace: watch.NewPace(cfg.Settings.DrainGrace), dials: map[int64]context.CancelFunc{}}
+	c.discovery = &discovery{c: c, address: cfg.Discovery, pace: polling.NewPace(cfg.Settings.DrainGrace), dials: map[int64]context.CancelFunc{}}
 	c.admission = newAdmission(c)
 	c.tracing = debugEnabled(log)
 	return c
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -12,7 +12,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"yarrowbarrow/decide/watch"
+	"yarrowbarrow/decide/polling"
 	"yarrowbarrow/internal/http1"
 	"yarrowbarrow/internal/listing"
 	"yarrowbarrow/logic"
@@ -25,7 +25,7 @@
 type discovery struct {
 	c         *Controller
 	address   string
-	pace      watch.Pace
+	pace      polling.Pace
 	link      *link
 	lateLinks []*link // connections whose answers are late, the oldest first
 	lastEvent int64   // number of the newest event received
@@ -33,7 +33,7 @@
 	callNumber     int64
 	awaitingAnswer bool          // a call is in progress
 	callDelay      time.Duration // how long the next call was postponed, or 0
-	recentCalls    watch.CallLimiter
+	recentCalls    polling.CallLimiter
 	following      bool
 	dials          map[int64]context.CancelFunc // in progress, by number
 	lastDial       int64                        // the newest number
--- a/controller/engines.go
+++ b/controller/engines.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"yarrowbarrow/decide/watch"
+	"yarrowbarrow/decide/polling"
 	"yarrowbarrow/internal/resp"
 	"yarrowbarrow/logic"
 )
@@ -127,7 +127,7 @@
 
 // setReportedStart converts the start time that discovery reports to the controller's clock.
 func (e *engine) setReportedStart(c *Controller, reportedStart time.Duration) {
-	e.reportedStart, e.startedAt = reportedStart, watch.Started(c.now, c.sys.wallClock(), reportedStart)
+	e.reportedStart, e.startedAt = reportedStart, polling.Started(c.now, c.sys.wallClock(), reportedStart)
 }
 
 // claimAddress gives an address to an engine and takes it from its previous owner, so that work for an engine that is
--- a/controller/wallclock.go
+++ b/controller/wallclock.go
@@ -4,7 +4,7 @@
 
 // wallClock returns Unix time. It may be stepped at any moment, so it is not used to measure time. It is read once at the
 // start of the process, as the origin of a clock that only moves forward, and when discovery reports an engine's start
-// (decide/watch, Started). The linter rejects any other use.
+// (decide/polling, Started). The linter rejects any other use.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 // clock returns Unix time at the start plus the monotonic time since.
--- a/decide/watch/started_test.go
+++ b/decide/polling/started_test.go
@@ -1,4 +1,4 @@
-package watch
+package polling
 
 import (
 	"testing"
--- a/decide/watch/watch.go
+++ b/decide/polling/watch.go
@@ -1,9 +1,9 @@
-// Package watch computes the timeouts and retry delays with which a controller asks discovery for the list of engines. They follow
+// Package polling computes the timeouts and retry delays with which a controller asks discovery for the list of engines. They follow
 // from the grace period within which a controller must act on a drain. The package does no I/O and reads no clock.
 //
 // It guarantees that a drain is noticed within the grace period even if it is announced during a watch that never returns, as
 // long as a new connection, a call and its answer together take no longer than Pace.Reserve.
-package watch
+package polling
 
 import "time"
 
--- a/decide/spread/apart.go
+++ b/decide/spread/apart.go
@@ -47,7 +47,7 @@
 const firstBackoff = 50 * time.Millisecond
 
 // Backoff returns the backoff before the next attempt after the given number of failures in a row, counted from 1. It doubles up to
-// longest (decide/watch), which applies from the fourth failure on, and is random between half of that delay and one and a half
+// longest (decide/polling), which applies from the fourth failure on, and is random between half of that delay and one and a half
 // times of it.
 func (a *Jitter) Backoff(failures int, longest time.Duration) time.Duration {
 	backoff := longest
