--- a/config/settings.go
+++ b/config/settings.go
@@ -7,7 +7,7 @@
 
 	"yarrowbarrow/decide/limit"
 	"yarrowbarrow/decide/slowness"
-	"yarrowbarrow/decide/spread"
+	"yarrowbarrow/decide/subsetting"
 	"yarrowbarrow/logic"
 )
 
@@ -172,19 +172,19 @@
 	return s.Estimator.Engine(slowness.Location(location), slowness.Kind(kind))
 }
 
-// NewModule creates the decision module. decide/spread assigns its subset of engines, decide/limit enforces its limits, and
+// NewModule creates the decision module. decide/subsetting assigns its subset of engines, decide/limit enforces its limits, and
 // decide/slowness estimates the slowness of engines from few answers.
 func NewModule(host logic.Host, settings logic.Settings, seed int64) *logic.Controller {
 	settings.Limits, settings.Slowness = newLimits(settings), slownessAdapter{slowness.New()}
 	settings.Order = func(candidates []logic.Candidate, size int) []logic.Candidate {
-		engines, candidateByID := make([]spread.Engine, len(candidates)),
-			make(map[spread.EngineID]logic.Candidate, len(candidates))
+		engines, candidateByID := make([]subsetting.Engine, len(candidates)),
+			make(map[subsetting.EngineID]logic.Candidate, len(candidates))
 		for index, candidate := range candidates {
-			engines[index] = spread.Engine{ID: spread.EngineID(candidate.ID), Location: spread.Location(candidate.Location),
+			engines[index] = subsetting.Engine{ID: subsetting.EngineID(candidate.ID), Location: subsetting.Location(candidate.Location),
 				Capacity: candidate.Cores}
 			candidateByID[engines[index].ID] = candidate
 		}
-		for index, id := range spread.Order(engines, settings.Controllers, settings.Number, size) {
+		for index, id := range subsetting.Order(engines, settings.Controllers, settings.Number, size) {
 			candidates[index] = candidateByID[id]
 		}
 		return candidates
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -21,7 +21,7 @@
 	"yarrowbarrow/decide/invariant"
 	"yarrowbarrow/decide/polling"
 	"yarrowbarrow/decide/route"
-	"yarrowbarrow/decide/spread"
+	"yarrowbarrow/decide/subsetting"
 	"yarrowbarrow/logic"
 )
 
@@ -55,9 +55,9 @@
 	phase           Phase
 	logic           logic.Module
 	newModule       func(logic.Host, logic.Settings, int64) logic.Module
-	router          *route.Router  // nil without an operators' file
-	plan            *route.Plan    // the newest version
-	stagger         *spread.Jitter // staggers calls in time against those of the other controllers
+	router          *route.Router      // nil without an operators' file
+	plan            *route.Plan        // the newest version
+	stagger         *subsetting.Jitter // staggers calls in time against those of the other controllers
 	jobs            map[logic.JobID]*job
 	clients         map[admission.ConnID]*client
 	lastConnID      admission.ConnID // id of the newest connection
@@ -101,7 +101,7 @@
 // New prepares a controller; Run starts it.
 func New(cfg config.Config, log *slog.Logger) *Controller {
 	c := &Controller{cfg: cfg, log: log, sys: linuxCalls(), startTime: time.Now(), startUnix: wallClock(), runResult: make(chan error, 1),
-		stagger: spread.NewJitter(cfg.Settings.Logic.Controllers, cfg.Settings.Logic.Number, cfg.Seed^1), jobs: map[logic.JobID]*job{}, clients: map[admission.ConnID]*client{},
+		stagger: subsetting.NewJitter(cfg.Settings.Logic.Controllers, cfg.Settings.Logic.Number, cfg.Seed^1), jobs: map[logic.JobID]*job{}, clients: map[admission.ConnID]*client{},
 		engines: map[logic.EngineID]*engine{}, engineByAddress: map[string]*engine{}, activeEngines: map[logic.EngineID]*engine{}, probes: map[string]*probe{},
 		fences: map[string]*attempt{}}
 	c.newModule = func(h logic.Host, s logic.Settings, seed int64) logic.Module { return config.NewModule(h, s, seed) }
--- a/controller/discovery.go
+++ b/controller/discovery.go
@@ -342,7 +342,7 @@
 }
 
 // handleFailure handles a discovery service that is unreachable or broken: it is called again after a randomized pause
-// that grows (decide/spread), so that controllers that lost it together do not return together.
+// that grows (decide/subsetting), so that controllers that lost it together do not return together.
 func (d *discovery) handleFailure(err error) {
 	c := d.c
 	c.counts[discoveryFailures]++
--- a/decide/limit/fleet_test.go
+++ b/decide/limit/fleet_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowbarrow/decide/spread"
+	"yarrowbarrow/decide/subsetting"
 )
 
 // coldStart simulates a fleet of controllers that send to an engine that has just started. Only some have it in their subset,
@@ -27,9 +27,9 @@
 func (c coldStart) simulate(t *rapid.T, rng *rand.Rand, settings Settings) (sentAt, work []time.Duration) {
 	const start = time.Hour
 	settings.Controllers = c.controllers
-	var list []spread.Engine
+	var list []subsetting.Engine
 	for n := range c.engines {
-		list = append(list, spread.Engine{ID: spread.EngineID(rune('a' + n)), Location: "here", Capacity: c.cores})
+		list = append(list, subsetting.Engine{ID: subsetting.EngineID(rune('a' + n)), Location: "here", Capacity: c.cores})
 	}
 	size := max(1, min(c.engines, int(math.Ceil(3*c.cores*float64(c.engines)/float64(1+c.controllers)/2))))
 	type sender struct {
@@ -44,7 +44,7 @@
 		if rng.Intn(10) == 0 { // a list that lacks one of the other engines
 			seen = list[:max(1, len(list)-1)]
 		}
-		order := spread.Order(append([]spread.Engine(nil), seen...), c.controllers, n, size)
+		order := subsetting.Order(append([]subsetting.Engine(nil), seen...), c.controllers, n, size)
 		share := 0.0
 		for _, id := range order[:min(size, len(order))] {
 			if id == list[0].ID {
--- a/decide/spread/apart_test.go
+++ b/decide/subsetting/apart_test.go
@@ -1,4 +1,4 @@
-package spread
+package subsetting
 
 import (
 	"math"
--- a/decide/spread/deal.go
+++ b/decide/subsetting/deal.go
@@ -1,4 +1,4 @@
-// Package spread assigns subsets of the engines to controllers, so that a fleet whose controllers do not communicate uses all
+// Package subsetting assigns subsets of the engines to controllers, so that a fleet whose controllers do not communicate uses all
 // engines evenly. The assignment follows from a controller's number, the number of controllers and the list of engines. It also
 // spreads actions of controllers over time (Jitter). It does no I/O and reads no clock.
 //
@@ -7,7 +7,7 @@
 // of a subset are distributed over locations like all engines; a change of one engine moves few engines of subsets other than
 // that engine. A smaller subset consists of the first engines of an order, and a larger one continues with the engines after
 // them, in a pseudorandom order that differs by controller.
-package spread
+package subsetting
 
 import (
 	"cmp"
