--- a/cmd/yarrowbarrow/members.go
+++ b/cmd/yarrowbarrow/members.go
@@ -10,7 +10,7 @@
 
 	"yarrowbarrow/config"
 	"yarrowbarrow/decide/counters"
-	"yarrowbarrow/decide/member"
+	"yarrowbarrow/decide/membership"
 	"yarrowbarrow/internal/status"
 	"yarrowbarrow/member/gossip"
 )
@@ -34,8 +34,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	fleetTally := counters.New(member.Name(cfg.Name), member.Generation(time.Now().UnixNano()), fleet.MaxMembers)
-	node, err = gossip.Start(gossip.Config{Piggyback: map[byte]member.Piggyback{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), AdvertiseAddress: fleet.AdvertiseAddress, Seeds: fleet.SeedAddresses,
+	fleetTally := counters.New(membership.Name(cfg.Name), membership.Generation(time.Now().UnixNano()), fleet.MaxMembers)
+	node, err = gossip.Start(gossip.Config{Piggyback: map[byte]membership.Piggyback{tallyCargo: fleetTally}, Name: cfg.Name, Listen: netip.AddrPortFrom(listen.Addr(), fleet.Port).String(), AdvertiseAddress: fleet.AdvertiseAddress, Seeds: fleet.SeedAddresses,
 		KeyFile: fleet.KeyFile, Period: fleet.ProbePeriod, MaxMembers: fleet.MaxMembers, MaxBytesPerSecond: fleet.MaxBytesPerSecond}, log.With("fleet", fleet.Name))
 	if err != nil {
 		return nil, nil, err
@@ -100,9 +100,9 @@
 // currentView takes a snapshot of the membership and of the tally.
 func currentView(node *gossip.Gossip, fleetTally *counters.Tally) fleetView {
 	view := node.View()
-	var present []member.Name
+	var present []membership.Name
 	for _, m := range view.Members {
-		if m.Status == member.Alive || m.Status == member.Suspect {
+		if m.Status == membership.Alive || m.Status == membership.Suspect {
 			present = append(present, m.Name)
 		}
 	}
--- a/decide/counters/tally.go
+++ b/decide/counters/tally.go
@@ -8,7 +8,7 @@
 //     an instance is counted at most once.
 //   - State is limited to the configured number of instances, and no packed message is larger than requested.
 //
-// Ages are upper bounds, as in decide/member: what arrives in an answer was sent after the question, and what it relays of other
+// Ages are upper bounds, as in decide/membership: what arrives in an answer was sent after the question, and what it relays of other
 // instances had then the age that it states. Counters that arrive unsolicited are stored, but do not change the known age.
 package counters
 
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"yarrowbarrow/decide/member"
+	"yarrowbarrow/decide/membership"
 )
 
 // Key identifies a counter: what is counted, and for which class, customer or engine.
@@ -33,8 +33,8 @@
 
 // entry holds the counters that an instance reported about itself.
 type entry struct {
-	name       member.Name
-	life       member.Generation
+	name       membership.Name
+	life       membership.Generation
 	version    uint64
 	values     map[Key]Value
 	sentAt     time.Duration // the report was sent at this time or later; never if unknown
@@ -47,8 +47,8 @@
 // Tally holds the counters of one instance and those that it received from others.
 type Tally struct {
 	own          entry
-	others       map[member.Name]*entry
-	relayQueue   []member.Name // instances whose reports are relayed next
+	others       map[membership.Name]*entry
+	relayQueue   []membership.Name // instances whose reports are relayed next
 	changed      bool
 	maxInstances int
 }
@@ -57,9 +57,9 @@
 const maxKeys, maxNameBytes = 64, 64
 
 // New returns the Tally of an instance that starts. It stores the reports of at most the given number of other instances.
-func New(name member.Name, life member.Generation, maxInstances int) *Tally {
+func New(name membership.Name, life membership.Generation, maxInstances int) *Tally {
 	return &Tally{own: entry{name: name, life: life, version: 1, values: map[Key]Value{}},
-		others: map[member.Name]*entry{}, maxInstances: maxInstances}
+		others: map[membership.Name]*entry{}, maxInstances: maxInstances}
 }
 
 // Set sets a counter of this instance; 0 removes it. It reports false if the key or value is invalid or there are too many
@@ -82,7 +82,7 @@
 
 // Pack returns a message of at most room bytes with the counters of this instance, and those of the other instances that have not
 // been relayed for the longest time. It returns nil if its own counters do not fit.
-func (t *Tally) Pack(now time.Duration, _ member.Name, room int) []byte {
+func (t *Tally) Pack(now time.Duration, _ membership.Name, room int) []byte {
 	if t.changed {
 		t.own.version++
 		t.changed = false
@@ -112,7 +112,7 @@
 }
 
 // names returns the other instances in ascending order.
-func (t *Tally) names() (all []member.Name) {
+func (t *Tally) names() (all []membership.Name) {
 	for name := range t.others {
 		all = append(all, name)
 	}
@@ -122,7 +122,7 @@
 
 // Unpack reads a message of another instance. asked is the maximum age of the message if it is an answer, and negative if it was
 // unsolicited.
-func (t *Tally) Unpack(now time.Duration, _ member.Name, _ member.Generation, asked time.Duration, data []byte) {
+func (t *Tally) Unpack(now time.Duration, _ membership.Name, _ membership.Generation, asked time.Duration, data []byte) {
 	for len(data) > 0 {
 		e, rest, err := readEntry(data)
 		if err != nil {
@@ -161,7 +161,7 @@
 }
 
 // MemberGone removes an instance that membership has forgotten or regards as gone, so that it is no longer part of any sum.
-func (t *Tally) MemberGone(name member.Name) { delete(t.others, name) }
+func (t *Tally) MemberGone(name membership.Name) { delete(t.others, name) }
 
 // Sum is the sum of a counter over the fleet.
 type Sum struct {
@@ -174,7 +174,7 @@
 
 // Sum adds up a counter. maxAge is the maximum age of a report that counts, present the other instances that membership
 // regards as alive or suspect, and maxEach the maximum value that an instance without a fresh report may have.
-func (t *Tally) Sum(now time.Duration, k Key, maxAge time.Duration, present []member.Name, maxEach Value) Sum {
+func (t *Tally) Sum(now time.Duration, k Key, maxAge time.Duration, present []membership.Name, maxEach Value) Sum {
 	s := Sum{Min: t.own.values[k], Instances: 1}
 	for _, name := range present {
 		e := t.others[name]
@@ -255,13 +255,13 @@
 func readEntry(data []byte) (e *entry, rest []byte, err error) {
 	r := &reader{data: data}
 	e = &entry{values: map[Key]Value{}, sentAt: -1}
-	e.name = member.Name(r.text(maxNameBytes))
+	e.name = membership.Name(r.text(maxNameBytes))
 	life, size := binary.Varint(r.data)
 	if size <= 0 || r.bad || e.name == "" {
 		return nil, nil, errMalformed
 	}
 	r.data = r.data[size:]
-	e.life, e.version = member.Generation(life), r.uvarint()
+	e.life, e.version = membership.Generation(life), r.uvarint()
 	if age := r.uvarint(); age > 0 {
 		e.sentAt = min(time.Duration(min(age-1, uint64(maxReportedAge/time.Millisecond)))*time.Millisecond, maxReportedAge)
 	}
--- a/decide/counters/tally_test.go
+++ b/decide/counters/tally_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowbarrow/decide/member"
+	"yarrowbarrow/decide/membership"
 )
 
 // TestMain runs the property tests with a fixed seed; -rapid.seed selects another.
@@ -24,14 +24,14 @@
 
 const second = time.Second
 
-func nameOf(n int) member.Name { return member.Name(fmt.Sprint("i", n)) }
+func nameOf(n int) membership.Name { return membership.Name(fmt.Sprint("i", n)) }
 
 // TestSum checks the sums of two instances for unsolicited messages, answers, reports that are too old, and a restart.
 func TestSum(t *testing.T) {
 	a, b := New("a", 1, 10), New("b", 1, 10)
 	a.Set(openJobs, 3)
 	b.Set(openJobs, 4)
-	present := []member.Name{"b", "c"}
+	present := []membership.Name{"b", "c"}
 	// Unsolicited message: the counter is known, its age is not.
 	a.Unpack(10*second, "b", 1, -1, b.Pack(0, "a", 400))
 	if s := a.Sum(10*second, openJobs, 5*second, present, 100); s != (Sum{Min: 3, Max: 203, Instances: 1, Unknown: 2}) {
@@ -62,7 +62,7 @@
 	b.Set(openJobs, 4)
 	a.Unpack(100*second, "b", 1, second, b.Pack(0, "a", 400))
 	c.Unpack(7*second, "a", 1, second, a.Pack(102*second, "c", 400))
-	s := c.Sum(8*second, openJobs, 10*second, []member.Name{"a", "b"}, 0)
+	s := c.Sum(8*second, openJobs, 10*second, []membership.Name{"a", "b"}, 0)
 	if s.Min != 4 || s.Instances != 3 || s.MaxAge != 5*second { // at most 1 s to a, 2 s at a, 1 s to c, 1 s at c
 		t.Errorf("%+v", s)
 	}
@@ -75,13 +75,13 @@
 		count := rapid.IntRange(2, 5).Draw(t, "instances")
 		type sent struct {
 			to   int
-			from member.Name
-			life member.Generation
+			from membership.Name
+			life membership.Generation
 			at   time.Duration // time of the question that the message answers
 			data []byte
 		}
 		all, lastSent := make([]*Tally, count), make([]map[string]time.Duration, count) // by life and version: when it was last sent
-		lives := make([]member.Generation, count)
+		lives := make([]membership.Generation, count)
 		for n := range all {
 			lives[n], lastSent[n] = 1, map[string]time.Duration{}
 			all[n] = New(nameOf(n), 1, 10)
@@ -107,7 +107,7 @@
 					continue
 				}
 				s := messages[rapid.IntRange(0, len(messages)-1).Draw(t, "message")] // stays in the list, so it may be delivered again
-				to, before := all[s.to], map[member.Name]entry{}
+				to, before := all[s.to], map[membership.Name]entry{}
 				for name, e := range to.others {
 					before[name] = *e
 				}
@@ -127,7 +127,7 @@
 					// sentAt must not be after the last time at which this version or an earlier one of the same life was sent.
 					last := time.Duration(0)
 					for key, at := range lastSent[m] {
-						var life member.Generation
+						var life membership.Generation
 						var version uint64
 						_, _ = fmt.Sscan(key, &life, &version)
 						if life == e.life && version <= e.version {
@@ -170,6 +170,6 @@
 		if len(a.others) > 10 {
 			t.Error(len(a.others))
 		}
-		_ = a.Sum(time.Hour, openJobs, time.Hour, []member.Name{"b"}, 1)
+		_ = a.Sum(time.Hour, openJobs, time.Hour, []membership.Name{"b"}, 1)
 	})
 }
--- a/decide/member/member.go
+++ b/decide/membership/member.go
@@ -1,4 +1,4 @@
-// Package member implements group membership for a fleet of instances: which members there are, their status, and how well
+// Package membership implements group membership for a fleet of instances: which members there are, their status, and how well
 // this instance itself is connected. It does no I/O and reads no clock; callers pass in the time, and a Host carries out what
 // is decided.
 //
@@ -24,7 +24,7 @@
 // A peer that lies can have a member suspected by instances that had no sign of life of it for three periods, until the next
 // one arrives, but cannot have it declared gone by instances that hear it. It can make a member that is gone look fresh.
 // Whoever holds the shared key is trusted that far.
-package member
+package membership
 
 import (
 	"cmp"
--- a/decide/member/world_test.go
+++ b/decide/membership/world_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"container/heap"
--- a/member/gossip/codec.go
+++ b/member/gossip/codec.go
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yarrowbarrow/decide/member"
+	"yarrowbarrow/decide/membership"
 )
 
 // A datagram consists of a header with an authentication code over all that follows the code, and the message in CBOR. The
@@ -43,7 +43,7 @@
 	errReplay  = errors.New("replayed or outdated message, or sender does not match the message")
 )
 
-// record is a member.Record on the wire.
+// record is a membership.Record on the wire.
 type record struct {
 	Name    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
@@ -53,21 +53,21 @@
 	By      string `cbor:"6,keyasint,omitempty"`
 }
 
-// age is a member.Age on the wire, an array of two numbers.
+// age is a membership.Age on the wire, an array of two numbers.
 type age struct {
 	_    struct{} `cbor:",toarray"`
 	Hash uint32
 	Age  uint32 // in ms; rounded up, as it is an upper bound
 }
 
-// payload is a member.Payload on the wire.
+// payload is a membership.Payload on the wire.
 type payload struct {
 	_    struct{} `cbor:",toarray"`
 	Type byte
 	Data []byte
 }
 
-// message is a member.Message on the wire.
+// message is a membership.Message on the wire.
 type message struct {
 	Kind        int8      `cbor:"1,keyasint"`
 	Seq         uint64    `cbor:"2,keyasint"`
@@ -100,16 +100,16 @@
 })
 
 // toRecord converts a record to its form on the wire; toMember converts it back.
-func toRecord(r member.Record) record {
+func toRecord(r membership.Record) record {
 	return record{string(r.Name), string(r.Address), int64(r.Generation), r.Incarnation, int8(r.Status), string(r.AccusedBy)}
 }
 
-func (r record) toMember() member.Record {
-	return member.Record{Name: member.Name(r.Name), Address: member.Address(r.Address), Generation: member.Generation(r.Life), Incarnation: r.Turn,
-		Status: member.Status(r.Status), AccusedBy: member.Name(r.By)}
+func (r record) toMember() membership.Record {
+	return membership.Record{Name: membership.Name(r.Name), Address: membership.Address(r.Address), Generation: membership.Generation(r.Life), Incarnation: r.Turn,
+		Status: membership.Status(r.Status), AccusedBy: membership.Name(r.By)}
 }
 
-func toRecords(records []member.Record) (out []record) {
+func toRecords(records []membership.Record) (out []record) {
 	for _, r := range records {
 		out = append(out, toRecord(r))
 	}
@@ -117,14 +117,14 @@
 }
 
 // fromRecords is the inverse of toRecords.
-func fromRecords(records []record) (out []member.Record) {
+func fromRecords(records []record) (out []membership.Record) {
 	for _, r := range records {
 		out = append(out, r.toMember())
 	}
 	return out
 }
 
-func toAges(ages []member.Age) (out []age) {
+func toAges(ages []membership.Age) (out []age) {
 	for _, a := range ages {
 		out = append(out, age{Hash: a.Hash, Age: uint32(min((a.Age+ms-1)/ms, 1<<32-1))})
 	}
@@ -132,9 +132,9 @@
 }
 
 // fromAges is the inverse of toAges.
-func fromAges(ages []age) (out []member.Age) {
+func fromAges(ages []age) (out []membership.Age) {
 	for _, a := range ages {
-		out = append(out, member.Age{Hash: a.Hash, Age: ms * time.Duration(a.Age)})
+		out = append(out, membership.Age{Hash: a.Hash, Age: ms * time.Duration(a.Age)})
 	}
 	return out
 }
@@ -166,13 +166,13 @@
 	if r.Name == "" || len(r.Name) > maxNameBytes || len(r.Address) > maxNameBytes || len(r.By) > maxNameBytes {
 		return fmt.Errorf("record has an empty or overlong text: name of %d bytes, address of %d bytes", len(r.Name), len(r.Address))
 	}
-	if r.Status < 0 || r.Status > int8(member.Left) {
+	if r.Status < 0 || r.Status > int8(membership.Left) {
 		return fmt.Errorf("record has unknown status %d", r.Status)
 	}
 	return nil
 }
 
-func encode(m member.Message) ([]byte, error) {
+func encode(m membership.Message) ([]byte, error) {
 	out := message{Kind: int8(m.Kind), Seq: uint64(m.Seq), From: toRecord(m.From), To: string(m.To), Updates: toRecords(m.Updates), Ages: toAges(m.Ages),
 		Unreachable: m.Unreachable}
 	if m.Target.Name != "" {
@@ -185,7 +185,7 @@
 	return cbor.Marshal(out)
 }
 
-func decode(data []byte) (m member.Message, err error) {
+func decode(data []byte) (m membership.Message, err error) {
 	var in message
 	if err = decoder().Unmarshal(data, &in); err == nil {
 		err = in.valid()
@@ -193,13 +193,13 @@
 	if err != nil {
 		return m, err
 	}
-	m = member.Message{Kind: member.Kind(in.Kind), Seq: member.Seq(in.Seq), From: in.From.toMember(), To: member.Name(in.To),
+	m = membership.Message{Kind: membership.Kind(in.Kind), Seq: membership.Seq(in.Seq), From: in.From.toMember(), To: membership.Name(in.To),
 		Updates: fromRecords(in.Updates), Ages: fromAges(in.Ages), Unreachable: in.Unreachable}
 	if in.Target != nil {
 		m.Target = in.Target.toMember()
 	}
 	for _, p := range in.Payloads {
-		m.Payloads = append(m.Payloads, member.Payload{Type: p.Type, Data: p.Data})
+		m.Payloads = append(m.Payloads, membership.Payload{Type: p.Type, Data: p.Data})
 	}
 	return m, nil
 }
--- a/member/gossip/gossip.go
+++ b/member/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip is the transport of decide/member: messages go over UDP, exchanges of the full state over TCP at the same
+// Package gossip is the transport of decide/membership: messages go over UDP, exchanges of the full state over TCP at the same
 // address. All messages carry an authentication code under a key that the fleet shares. The configuration limits the bytes per
 // second in each direction; datagrams over the limit are dropped, like datagrams that the network loses.
 package gossip
@@ -21,7 +21,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yarrowbarrow/decide/member"
+	"yarrowbarrow/decide/membership"
 )
 
 const ms = time.Millisecond
@@ -29,14 +29,14 @@
 // Config configures an instance.
 type Config struct {
 	Name              string
-	Listen            string                    // UDP and TCP address to listen on, such as 10.0.0.4:7946
-	AdvertiseAddress  string                    // advertised address, at which others reach this instance; empty if it is Listen
-	Seeds             []string                  // addresses to join through
-	KeyFile           string                    // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
-	Period            time.Duration             // protocol period, see member.Settings
-	MaxMembers        int                       // members that are kept
-	MaxBytesPerSecond int                       // bytes per second in datagrams, each for sending and receiving
-	Piggyback         map[byte]member.Piggyback // modules whose data is piggybacked, by payload type
+	Listen            string                        // UDP and TCP address to listen on, such as 10.0.0.4:7946
+	AdvertiseAddress  string                        // advertised address, at which others reach this instance; empty if it is Listen
+	Seeds             []string                      // addresses to join through
+	KeyFile           string                        // one key per line, of at least 16 bytes; the first is used for sending, all are accepted; see ReadKeys
+	Period            time.Duration                 // protocol period, see member.Settings
+	MaxMembers        int                           // members that are kept
+	MaxBytesPerSecond int                           // bytes per second in datagrams, each for sending and receiving
+	Piggyback         map[byte]membership.Piggyback // modules whose data is piggybacked, by payload type
 }
 
 // Counts are counters of an instance since its start.
@@ -60,7 +60,7 @@
 	tcp       net.Listener
 
 	mu            sync.Mutex
-	member        *member.Member
+	member        *membership.Member
 	keys          keys
 	sender        uint64             // sender number of this instance
 	number        uint64             // of the last datagram sent
@@ -117,10 +117,10 @@
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	advertised := cmp.Or(cfg.AdvertiseAddress, cfg.Listen)
-	var seeds []member.Address
+	var seeds []membership.Address
 	for _, seed := range cfg.Seeds {
 		if seed != advertised {
-			seeds = append(seeds, member.Address(seed))
+			seeds = append(seeds, membership.Address(seed))
 		}
 	}
 	life := g.startedAt.UnixNano()
@@ -129,7 +129,7 @@
 		g.buckets[i].tokens = 2 * float64(cfg.MaxBytesPerSecond)
 	}
 	g.timer = time.AfterFunc(time.Hour, g.tick)
-	g.member = member.New(g, member.Settings{Name: member.Name(cfg.Name), Address: member.Address(advertised), Generation: member.Generation(life),
+	g.member = membership.New(g, membership.Settings{Name: membership.Name(cfg.Name), Address: membership.Address(advertised), Generation: membership.Generation(life),
 		Seeds: seeds, Period: cfg.Period, MaxMembers: cfg.MaxMembers, Piggyback: cfg.Piggyback}, life)
 	g.do(func(now time.Duration) { g.member.Start(now) })
 	go g.receive()
@@ -198,7 +198,7 @@
 
 // Send queues a message as a datagram. If the message is too large, its payloads are removed, then half or all of the ages, then
 // half or all of the updates.
-func (g *Gossip) Send(to member.Address, m member.Message) {
+func (g *Gossip) Send(to membership.Address, m membership.Message) {
 	address, err := netip.ParseAddrPort(string(to))
 	if err != nil {
 		return
@@ -232,15 +232,15 @@
 }
 
 // ExchangeState queues an exchange of the full state, which starts once the lock is released.
-func (g *Gossip) ExchangeState(to member.Address) { g.exchanges = append(g.exchanges, string(to)) }
+func (g *Gossip) ExchangeState(to membership.Address) { g.exchanges = append(g.exchanges, string(to)) }
 
 // WakeAt sets the timer of the next tick.
 func (g *Gossip) WakeAt(at time.Duration) { g.timer.Reset(max(at-g.now(), 0)) }
 
 // StatusChanged logs the new status of a member.
-func (g *Gossip) StatusChanged(_ time.Duration, m member.Info) {
+func (g *Gossip) StatusChanged(_ time.Duration, m membership.Info) {
 	level := slog.LevelInfo
-	if m.Status == member.Gone {
+	if m.Status == membership.Gone {
 		level = slog.LevelWarn
 	}
 	g.logCalls = append(g.logCalls, func() {
@@ -249,12 +249,12 @@
 }
 
 // ContactChanged logs the new contact of this instance.
-func (g *Gossip) ContactChanged(_ time.Duration, c member.Contact, _ time.Duration) {
+func (g *Gossip) ContactChanged(_ time.Duration, c membership.Contact, _ time.Duration) {
 	g.logCalls = append(g.logCalls, func() { g.log.Info("contact", "is", c.String()) })
 }
 
 // Displaced logs that a later instance runs under the name of this one.
-func (g *Gossip) Displaced(by member.Record) {
+func (g *Gossip) Displaced(by membership.Record) {
 	g.logCalls = append(g.logCalls, func() {
 		g.log.Error("a later instance runs under this name; this instance is no longer a member", "address", string(by.Address), "life", int64(by.Generation))
 	})
@@ -283,7 +283,7 @@
 				g.counts.Rejected++
 				return
 			}
-			g.member.HandleMessage(now, member.Address(from.String()), m)
+			g.member.HandleMessage(now, membership.Address(from.String()), m)
 		})
 	}
 }
@@ -292,7 +292,7 @@
 const maxWindows = 4096
 
 // decodeDatagram authenticates and decodes a datagram, and rejects replays.
-func (g *Gossip) decodeDatagram(data []byte) (m member.Message, err error) {
+func (g *Gossip) decodeDatagram(data []byte) (m membership.Message, err error) {
 	body, err := g.keys.open(data)
 	if err != nil {
 		return m, err
@@ -457,11 +457,11 @@
 
 // View is a snapshot of what an instance knows.
 type View struct {
-	Own         member.Record
-	Contact     member.Contact
+	Own         membership.Record
+	Contact     membership.Contact
 	ContactFor  time.Duration // how long Contact has been so
-	Members     []member.Info
-	BrokenLinks []member.BrokenLink
+	Members     []membership.Info
+	BrokenLinks []membership.BrokenLink
 	MaxFreshAge time.Duration // up to which age a sign of life counts as fresh
 	Counts      Counts
 }
--- a/member/gossip/gossip_test.go
+++ b/member/gossip/gossip_test.go
@@ -13,15 +13,15 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/go-cmp/cmp"
 
-	"yarrowbarrow/decide/member"
+	"yarrowbarrow/decide/membership"
 )
 
 // fullMessage is a message with all fields set.
-var fullMessage = member.Message{Kind: member.Ack, Seq: 1<<63 + 5, From: member.Record{Name: "a", Address: "10.0.0.1:1", Generation: 99, Incarnation: 3, Status: member.Alive},
-	To: "b", Target: member.Record{Name: "c", Address: "10.0.0.3:1", Generation: 1, Status: member.Suspect, AccusedBy: "a"},
-	Updates:  []member.Record{{Name: "d", Address: "x", Generation: 2, Status: member.Gone, AccusedBy: "e"}, {Name: "f", Generation: 3, Status: member.Alive}},
-	Ages:     []member.Age{{Hash: 1 << 31, Age: 0}, {Hash: 2, Age: 1500 * ms}},
-	Payloads: []member.Payload{{Type: 7, Data: []byte("x")}}, Unreachable: []uint32{1, 1 << 31}}
+var fullMessage = membership.Message{Kind: membership.Ack, Seq: 1<<63 + 5, From: membership.Record{Name: "a", Address: "10.0.0.1:1", Generation: 99, Incarnation: 3, Status: membership.Alive},
+	To: "b", Target: membership.Record{Name: "c", Address: "10.0.0.3:1", Generation: 1, Status: membership.Suspect, AccusedBy: "a"},
+	Updates:  []membership.Record{{Name: "d", Address: "x", Generation: 2, Status: membership.Gone, AccusedBy: "e"}, {Name: "f", Generation: 3, Status: membership.Alive}},
+	Ages:     []membership.Age{{Hash: 1 << 31, Age: 0}, {Hash: 2, Age: 1500 * ms}},
+	Payloads: []membership.Payload{{Type: 7, Data: []byte("x")}}, Unreachable: []uint32{1, 1 << 31}}
 
 // TestMessage checks that decoding returns what was encoded, and that ages are rounded up: rounded down, an age would claim that
 // a member is fresher than it is.
@@ -34,7 +34,7 @@
 	if diff := cmp.Diff(fullMessage, decoded); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
-	encoded, _ = encode(member.Message{From: fullMessage.From, Ages: []member.Age{{Hash: 1, Age: ms + 1}}})
+	encoded, _ = encode(membership.Message{From: fullMessage.From, Ages: []membership.Age{{Hash: 1, Age: ms + 1}}})
 	if decoded, _ := decode(encoded); decoded.Ages[0].Age != 2*ms {
 		t.Error(decoded.Ages)
 	}
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	m, err := decode(later)
-	if err != nil || m.Kind != member.Ping || m.From.Name != "a" || m.From.Generation != 9 {
+	if err != nil || m.Kind != membership.Ping || m.From.Name != "a" || m.From.Generation != 9 {
 		t.Error(m, err)
 	}
 }
@@ -139,8 +139,8 @@
 	}
 }
 
-func alive(g *Gossip, name member.Name) bool {
-	return slices.ContainsFunc(g.View().Members, func(m member.Info) bool { return m.Name == name && m.Status == member.Alive })
+func alive(g *Gossip, name membership.Name) bool {
+	return slices.ContainsFunc(g.View().Members, func(m membership.Info) bool { return m.Name == name && m.Status == membership.Alive })
 }
 
 const oldKey, newKey = "the key of the fleet before", "the key of the fleet from now on"
@@ -181,7 +181,7 @@
 // TestReplay checks that a datagram is rejected when it arrives a second time, and when any of its bytes was changed.
 func TestReplay(t *testing.T) {
 	g := startInstance(t, "g", oldKey)
-	encoded, _ := encode(member.Message{Kind: member.Ping, Seq: 1, From: member.Record{Name: "x", Address: "127.0.0.1:1", Generation: 5}})
+	encoded, _ := encode(membership.Message{Kind: membership.Ping, Seq: 1, From: membership.Record{Name: "x", Address: "127.0.0.1:1", Generation: 5}})
 	sealed := make([]byte, datagramHeaderBytes, 200)
 	sender := senderNumber("x", 5)
 	for n := range 8 {
