--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -14,7 +14,7 @@
 	"yarrowbarrow/logic"
 )
 
-// Names lists the policies, except those that break a rule (see broken.go).
+// Names lists the policies, except those that break a rule (see rulebreakers.go).
 var Names = []string{"random", "round-robin", "least-outstanding", "two-choices"}
 
 // New returns the constructor of the named policy: one of Names, or one that breaks a rule, such as "without-rule-1".
