--- a/controller/clients.go
+++ b/controller/clients.go
@@ -100,7 +100,7 @@
 }
 
 func (h admissionHost) End(id admission.ConnID, why admission.CloseReason) {
-	if why == admission.ForNewcomer {
+	if why == admission.ForNewClient {
 		h.c.counts[clientsEvicted]++
 		h.c.closeClient(h.c.clients[id], "room for a new client")
 	} else {
--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -39,7 +39,7 @@
 
 const (
 	Idle CloseReason = iota
-	ForNewcomer
+	ForNewClient
 )
 
 func (w CloseReason) String() string { return [...]string{"idle", "for a newcomer"}[w] }
@@ -133,7 +133,7 @@
 	if client == nil {
 		return false
 	}
-	c.end(client, ForNewcomer)
+	c.end(client, ForNewClient)
 	return true
 }
 
--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -62,9 +62,9 @@
 		h.violation = fmt.Sprintf("ends %d with %+v, unread %v", id, *s, h.unread[id])
 	case why == Idle && (!asked || h.now < askedAt+linger):
 		h.violation = fmt.Sprintf("ends %d as idle before linger after the request to leave", id)
-	case why == ForNewcomer && !h.control.lookup(id).hasMessage && h.now < h.control.lookup(id).lastActive+firstMessageGrace:
+	case why == ForNewClient && !h.control.lookup(id).hasMessage && h.now < h.control.lookup(id).lastActive+firstMessageGrace:
 		h.violation = fmt.Sprintf("ends %d for a newcomer before its first message could arrive", id)
-	case why == ForNewcomer && !h.placesFull:
+	case why == ForNewClient && !h.placesFull:
 		h.violation = fmt.Sprintf("ends %d for a newcomer although places are free", id)
 	}
 	h.forget(id)
--- a/decide/slowness/slowness.go
+++ b/decide/slowness/slowness.go
@@ -48,7 +48,7 @@
 
 // Engine estimates the slowness of one engine.
 type Engine struct {
-	book       *Estimator
+	estimator  *Estimator
 	group      *group
 	slowness   mean
 	lastAnswer time.Duration // time of the last answer
@@ -60,7 +60,7 @@
 	if b.groups[key] == nil {
 		b.groups[key] = &group{}
 	}
-	return &Engine{book: b, group: b.groups[key]}
+	return &Engine{estimator: b, group: b.groups[key]}
 }
 
 // Numbers of samples that the running means span. An engine's own mean spans about as many answers as its concurrency limit; means
@@ -74,21 +74,21 @@
 
 // Add adds the slowness of an answer that arrived now.
 func (e *Engine) Add(now time.Duration, slowness float64) {
-	book := e.book
+	estimator := e.estimator
 	ownWeight := e.ownWeight(now)
 	if ownWeight >= 1 {
 		deviation := slowness - e.slowness.value
-		book.noiseVariance.add(deviation*deviation*ownWeight/(ownWeight+1), varianceSamples)
+		estimator.noiseVariance.add(deviation*deviation*ownWeight/(ownWeight+1), varianceSamples)
 	}
 	e.slowness.samples = ownWeight
 	e.slowness.add(slowness, ownSamples)
 	e.group.slowness.add(slowness, pooledSamples)
-	book.overall.add(slowness, pooledSamples)
+	estimator.overall.add(slowness, pooledSamples)
 	e.lastAnswer = now
-	if e.slowness.samples >= 2 && book.noiseVariance.samples > 0 { // the noise remaining in the means is subtracted
-		book.engineVariance.add(square(e.slowness.value-e.group.slowness.value)-
-			book.noiseVariance.value*(1/e.slowness.samples+1/e.group.slowness.samples), varianceSamples)
-		book.groupVariance.add(square(e.group.slowness.value-book.overall.value)-book.noiseVariance.value/e.group.slowness.samples, varianceSamples)
+	if e.slowness.samples >= 2 && estimator.noiseVariance.samples > 0 { // the noise remaining in the means is subtracted
+		estimator.engineVariance.add(square(e.slowness.value-e.group.slowness.value)-
+			estimator.noiseVariance.value*(1/e.slowness.samples+1/e.group.slowness.samples), varianceSamples)
+		estimator.groupVariance.add(square(e.group.slowness.value-estimator.overall.value)-estimator.noiseVariance.value/e.group.slowness.samples, varianceSamples)
 	}
 }
 
@@ -118,13 +118,13 @@
 
 // Estimate returns the estimated slowness of the engine now, or 0 if the Estimator has no answers yet.
 func (e *Engine) Estimate(now time.Duration) float64 {
-	book := e.book
-	if book.overall.samples == 0 {
+	estimator := e.estimator
+	if estimator.overall.samples == 0 {
 		return 0
 	}
-	prior := poolWeight(book.noiseVariance, book.groupVariance)
-	groupMean := (e.group.slowness.samples*e.group.slowness.value + prior*book.overall.value) / (e.group.slowness.samples + prior)
-	prior = poolWeight(book.noiseVariance, book.engineVariance)
+	prior := poolWeight(estimator.noiseVariance, estimator.groupVariance)
+	groupMean := (e.group.slowness.samples*e.group.slowness.value + prior*estimator.overall.value) / (e.group.slowness.samples + prior)
+	prior = poolWeight(estimator.noiseVariance, estimator.engineVariance)
 	ownWeight := e.ownWeight(now)
 	return (ownWeight*e.slowness.value + prior*groupMean) / (ownWeight + prior)
 }
