--- a/cmd/yarrowbarrow/serve.go
+++ b/cmd/yarrowbarrow/serve.go
@@ -71,7 +71,7 @@
 			_ = ctl.Reload(readConfig) // Reload logs and counts its own errors
 			if node != nil {
 				if err := node.ReadKeys(); err != nil {
-					log.Error("fleet key file not reloaded; keeping the previous keys", "why", err)
+					log.Error("key not taken", "why", err)
 				}
 			}
 		}
