--- a/logic/engines.go
+++ b/logic/engines.go
@@ -127,7 +127,7 @@
 	return e
 }
 
-// EngineListEnd ends the event, and dispatches what can be dispatched. Engines missing from a complete list are gone.
+// ListEnds ends the event, and dispatches what can be dispatched. Engines missing from a complete list are gone.
 func (c *Controller) ListEnds(now time.Duration) {
 	c.now = now
 	if c.list.isSnapshot {
--- a/logic/host.go
+++ b/logic/host.go
@@ -68,7 +68,7 @@
 // Module handles the events of a controller process. The first argument of each method is the current time. Controller
 // is the implementation for production; others are baselines for measurements.
 type Module interface {
-	// ListBegins, EngineListed for each engine, and EngineListEnd report one event of the list of engines.
+	// ListBegins, EngineListed for each engine, and ListEnds report one event of the list of engines.
 	ListBegins(now time.Duration, kind ListKind)
 	// EngineListed reports the state of one engine. startedAt is when its process started, 0 for long ago.
 	EngineListed(now time.Duration, id EngineID, location Location, kind KindName, cell Cell, health Health,
--- a/member/gossip/codec.go
+++ b/member/gossip/codec.go
@@ -237,7 +237,7 @@
 	return h.Sum(nil)[:codeBytes]
 }
 
-// senderNumber returns the sender number of datagrams: a hash of the member's name and life.
+// senderNumber returns the sender number of datagrams: a hash of the member's name and generation.
 func senderNumber(name string, life int64) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // never fails
