--- a/decide/counters/counters.go
+++ b/decide/counters/counters.go
@@ -190,7 +190,7 @@
 	return s
 }
 
-// append encodes an entry: name, life, version, age in milliseconds plus one or 0 if unknown, and counters in ascending order of
+// append encodes an entry: name, generation, version, age in milliseconds plus one or 0 if unknown, and counters in ascending order of
 // keys.
 func (e *entry) append(out []byte, now time.Duration) []byte {
 	out = appendText(out, string(e.name))
--- a/decide/counters/counters_test.go
+++ b/decide/counters/counters_test.go
@@ -80,7 +80,7 @@
 			at   time.Duration // time of the question that the message answers
 			data []byte
 		}
-		all, lastSent := make([]*Tally, count), make([]map[string]time.Duration, count) // by life and version: when it was last sent
+		all, lastSent := make([]*Tally, count), make([]map[string]time.Duration, count) // by generation and version: when it was last sent
 		lives := make([]membership.Generation, count)
 		for n := range all {
 			lives[n], lastSent[n] = 1, map[string]time.Duration{}
@@ -124,7 +124,7 @@
 					if e == nil {
 						continue
 					}
-					// sentAt must not be after the last time at which this version or an earlier one of the same life was sent.
+					// sentAt must not be after the last time at which this version or an earlier one of the same generation was sent.
 					last := time.Duration(0)
 					for key, at := range lastSent[m] {
 						var life membership.Generation
--- a/decide/route/compare.go
+++ b/decide/route/compare.go
@@ -80,7 +80,7 @@
 	ShadowedBy []*Route // the routes that take its jobs, in order; empty if no job at all satisfies its match
 }
 
-// Unreachable returns the routes that no job can reach. It leaves out routes whose match expands to too many boxes and
+// UnreachableRoutes returns the routes that no job can reach. It leaves out routes whose match expands to too many boxes and
 // those for which the analysis reaches its bounds; for all others the result is exact.
 func (p *Plan) UnreachableRoutes() (found []Unreachable) {
 	index, table := newPlanIndex(p), NewTable(p, nil)
