--- a/lab/load/mix.go
+++ b/lab/load/mix.go
@@ -18,7 +18,7 @@
 	Wait          time.Duration // how long the client waits for the answer
 	LatencyTarget time.Duration
 	SendCost      bool // whether the job carries its cost
-	Keyed         bool // whether the job carries a idempotency key, which allows repeating it
+	Keyed         bool // whether the job carries an idempotency key, which allows repeating it
 }
 
 // Count holds the outcomes of the jobs of a class. InTime counts done jobs within the latency target, Cancelled jobs answered
--- a/logic/host.go
+++ b/logic/host.go
@@ -4,10 +4,11 @@
 //
 // Comments refer to seven rules that hold for every job, by number:
 //
-//  1. A job whose deadline has passed or whose client has left is not dispatched.
+//  1. A job gets one final answer, in time, and nothing is sent for it afterwards: not once its deadline has passed or its
+//     client has left.
 //  2. A job that may have run is repeated only as its class allows (see Repeat).
-//  3. Draining engines get no jobs.
-//  4. Cold engines, which have started recently, get a limited amount of work (see EngineLimit).
+//  3. Engines that drain or have gone get no jobs.
+//  4. Cold engines, which have started recently, get a limited amount of work from all controllers together (see EngineLimit).
 //  5. Jobs of one key of an ordered class run one after the other, in order of arrival.
 //  6. Jobs go only to the locations and kinds of engines that their class allows.
 //  7. Retries stay within the retry budget (see Limits).
